--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Expectation.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Expectation.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 
 /**
  * How long an answer is expected to take: the work at the upstream's pace, more with its other
@@ -32,7 +32,7 @@
     return run * (1 + FAULT_WEIGHT * l.faults()) + wayMs(l.entry(), ask) + connectMs(l, ask, nowMs);
   }
 
-  private double wayMs(UpstreamEntry e, Ask ask) {
+  private double wayMs(UpstreamRegistration e, Ask ask) {
     if (near(e, ask)) {
       return 0;
     }
@@ -48,7 +48,7 @@
     return settings.connectMs() + (near(l.entry(), ask) ? 0 : settings.crossDataCentreMs());
   }
 
-  private static boolean near(UpstreamEntry e, Ask ask) {
+  private static boolean near(UpstreamRegistration e, Ask ask) {
     return e.dataCentre().equals(ask.dataCentre());
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.ServiceRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.ServiceSettings;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -60,10 +60,10 @@
    * @param usable the upstreams that may get work
    * @param nowMs the present time on a steady clock, in milliseconds
    */
-  public void upstreams(ServiceRule rule, Collection<UpstreamEntry> usable, long nowMs) {
-    coldBound = settings.coldBound(rule.coldPerSecond());
+  public void upstreams(ServiceSettings rule, Collection<UpstreamRegistration> usable, long nowMs) {
+    coldBound = settings.coldBound(rule.warmupRequestsPerSecond());
     Map<String, UpstreamLoad> kept = new HashMap<>();
-    for (UpstreamEntry e : usable) {
+    for (UpstreamRegistration e : usable) {
       UpstreamLoad load = loads.get(e.id());
       if (load == null) {
         load = new UpstreamLoad(e, nowMs);
@@ -183,7 +183,7 @@
    * @param nowMs the present time on the same clock
    * @return upstreams to probe now, those heard of least lately first
    */
-  public List<UpstreamEntry> probes(long nowMs) {
+  public List<UpstreamRegistration> probes(long nowMs) {
     List<UpstreamLoad> stale = new ArrayList<>();
     int good = 0;
     for (UpstreamLoad l : loads.values()) {
@@ -195,7 +195,7 @@
     }
     int wanted = (int) Math.ceil(askRate(nowMs) * FRESH_MS) - good;
     stale.sort(Comparator.comparingLong(l -> -l.paceAgeMs(nowMs)));
-    List<UpstreamEntry> out = new ArrayList<>();
+    List<UpstreamRegistration> out = new ArrayList<>();
     for (UpstreamLoad l : stale.subList(0, Math.max(0, Math.min(wanted, stale.size())))) {
       l.probeSent(nowMs);
       out.add(l.entry());
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -27,7 +27,7 @@
   private final Map<AskKey, Hold> holds = new HashMap<>();
   private final Map<Integer, Long> usedBy = new HashMap<>();
   private final ColdBound coldBound = new ColdBound();
-  private UpstreamEntry entry;
+  private UpstreamRegistration entry;
   private long coldUntilMs;
   private double pace = 1;
   private long paceAtMs = Long.MIN_VALUE / 2;
@@ -38,17 +38,17 @@
   private int rests;
   private long restUntilMs = Long.MIN_VALUE / 2;
 
-  UpstreamLoad(UpstreamEntry entry, long nowMs) {
+  UpstreamLoad(UpstreamRegistration entry, long nowMs) {
     this.entry = entry;
-    this.coldUntilMs = nowMs + entry.coldForMs();
+    this.coldUntilMs = nowMs + entry.warmupRemainingMs();
   }
 
-  UpstreamEntry entry() {
+  UpstreamRegistration entry() {
     return entry;
   }
 
-  void announce(UpstreamEntry e, long nowMs) {
-    if (!e.sameIncarnation(entry)) {
+  void announce(UpstreamRegistration e, long nowMs) {
+    if (!e.isSameIncarnation(entry)) {
       holds.clear();
       usedBy.clear();
       faults = 0;
@@ -56,7 +56,7 @@
       restUntilMs = nowMs;
     }
     entry = e;
-    coldUntilMs = Math.max(coldUntilMs, nowMs + e.coldForMs());
+    coldUntilMs = Math.max(coldUntilMs, nowMs + e.warmupRemainingMs());
   }
 
   boolean cold(long nowMs) {
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Verdict.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Verdict.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 
 /** What was decided about an ask. Implementations are immutable. */
 public sealed interface Verdict {
@@ -17,7 +17,7 @@
    * @param key the ask
    * @param upstream where to send the request
    */
-  record Placed(AskKey key, UpstreamEntry upstream) implements Verdict {}
+  record Placed(AskKey key, UpstreamRegistration upstream) implements Verdict {}
 
   /**
    * The request can't be served in time.
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
@@ -1,12 +1,12 @@
 package dev.cactusstack.decisions.recovery;
 
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.DataCentre;
 import dev.cactusstack.model.DataCentreRow;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Route;
-import dev.cactusstack.model.Table;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
@@ -31,7 +31,7 @@
   }
 
   @Override
-  public Step against(Table table) {
+  public Step against(ConfigurationTable table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     if (row == null) {
       return refused(
@@ -44,7 +44,7 @@
     if (applied.isPresent()) {
       return new Step.Done(new EditOutcome.Accepted(applied.getAsLong()));
     }
-    if (row.out() == out) {
+    if (row.evacuated() == out) {
       return new Step.Done(new EditOutcome.Accepted(table.version()));
     }
     Optional<Route> stranded = out && !force ? lastRoute(table) : Optional.empty();
@@ -57,7 +57,8 @@
     var ids = new ArrayList<String>();
     ids.add(operation);
     ids.addAll(
-        row.operations().subList(0, Math.min(row.operations().size(), Route.OPERATIONS_KEPT - 1)));
+        row.operations()
+            .subList(0, Math.min(row.operations().size(), Route.MAX_RECORDED_OPERATIONS - 1)));
     return new Step.Commit(
         List.of(), List.of(new DataCentreRow(dataCentre, out, row.version(), ids)));
   }
@@ -66,7 +67,7 @@
     return new Step.Done(new EditOutcome.NotAccepted(p));
   }
 
-  private Optional<Route> lastRoute(Table table) {
+  private Optional<Route> lastRoute(ConfigurationTable table) {
     return table.routes().values().stream()
         .filter(r -> r.key().dataCentre().equals(dataCentre) && r.weight() > 0)
         .filter(
@@ -76,12 +77,12 @@
                         o ->
                             !o.key().dataCentre().equals(dataCentre)
                                 && o.weight() > 0
-                                && !table.isOut(o.key().dataCentre())))
+                                && !table.isEvacuated(o.key().dataCentre())))
         .findFirst();
   }
 
   @Override
-  public OptionalLong appliedIn(Table table) {
+  public OptionalLong appliedIn(ConfigurationTable table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     return row != null && row.operations().contains(operation)
         ? OptionalLong.of(row.version())
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
@@ -1,14 +1,14 @@
 package dev.cactusstack.decisions.recovery;
 
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.Edit;
 import dev.cactusstack.model.EditOutcome;
-import dev.cactusstack.model.EditOutcome.ConflictSides;
+import dev.cactusstack.model.EditOutcome.RowConflict;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public Step against(Table table) {
+  public Step against(ConfigurationTable table) {
     Objects.requireNonNull(table, "table is null");
     if (appliedIn(table).isPresent()) {
       return new Step.Done(new EditOutcome.Accepted(appliedIn(table).getAsLong()));
@@ -47,7 +47,7 @@
     if (invalid.isPresent()) {
       return new Step.Done(new EditOutcome.NotAccepted(invalid.get()));
     }
-    List<ConflictSides> conflicts = conflicts(table);
+    List<RowConflict> conflicts = conflicts(table);
     if (!conflicts.isEmpty()) {
       return new Step.Done(new EditOutcome.Conflict(conflicts));
     }
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public OptionalLong appliedIn(Table table) {
+  public OptionalLong appliedIn(ConfigurationTable table) {
     return edits.stream()
         .flatMap(e -> table.route(e.key()).stream())
         .filter(r -> r.operations().contains(operation))
@@ -74,7 +74,7 @@
         .max();
   }
 
-  private Optional<Problem> firstProblem(Table table) {
+  private Optional<Problem> firstProblem(ConfigurationTable table) {
     Set<RouteKey> seen = new HashSet<>();
     for (Edit e : edits) {
       Result<Route> r = check(table, e, seen);
@@ -88,7 +88,7 @@
         : Optional.empty();
   }
 
-  private static Result<Route> check(Table table, Edit e, Set<RouteKey> seen) {
+  private static Result<Route> check(ConfigurationTable table, Edit e, Set<RouteKey> seen) {
     if (!seen.add(e.key())) {
       return Result.failure(
           Problem.invalid(
@@ -101,7 +101,7 @@
         .orElseGet(() -> Result.failure(unknownRow(table, e.key())));
   }
 
-  private static Problem unknownRow(Table table, RouteKey key) {
+  private static Problem unknownRow(ConfigurationTable table, RouteKey key) {
     boolean known = !table.routesOf(key.service()).isEmpty();
     return new Problem(
         known ? ProblemKind.UNKNOWN_DATA_CENTRE : ProblemKind.UNKNOWN_SERVICE,
@@ -111,22 +111,22 @@
         "take a name that 'cactusctl table show' lists");
   }
 
-  private List<ConflictSides> conflicts(Table table) {
+  private List<RowConflict> conflicts(ConfigurationTable table) {
     boolean tableMoved =
         ifTableVersion.isPresent() && ifTableVersion.getAsLong() != table.version();
-    List<ConflictSides> sides = new ArrayList<>();
+    List<RowConflict> sides = new ArrayList<>();
     for (Edit e : edits) {
       Route theirs = table.route(e.key()).orElseThrow();
       boolean rowMoved = e.ifVersion().isPresent() && e.ifVersion().getAsLong() != theirs.version();
       boolean movedSince = tableMoved && theirs.version() > ifTableVersion.getAsLong();
       if (rowMoved || movedSince) {
-        sides.add(new ConflictSides(e.applyTo(theirs), theirs));
+        sides.add(new RowConflict(e.applyTo(theirs), theirs));
       }
     }
     if (tableMoved && sides.isEmpty()) {
       Edit first = edits.get(0);
       Route theirs = table.route(first.key()).orElseThrow();
-      sides.add(new ConflictSides(first.applyTo(theirs), theirs));
+      sides.add(new RowConflict(first.applyTo(theirs), theirs));
     }
     return sides;
   }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/Plan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/Plan.java
@@ -1,11 +1,11 @@
 package dev.cactusstack.decisions.recovery;
 
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.DataCentre;
 import dev.cactusstack.model.DataCentreRow;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
 import java.util.List;
 import java.util.Objects;
 import java.util.OptionalLong;
@@ -33,7 +33,7 @@
    * @param table the table as just read
    * @return rows that carry the version each must still have; or an outcome that ends the change
    */
-  Step against(Table table);
+  Step against(ConfigurationTable table);
 
   /**
    * Finds out whether the operation is committed.
@@ -41,7 +41,7 @@
    * @param table the table as just read
    * @return the version that contains it, if a row still remembers it
    */
-  OptionalLong appliedIn(Table table);
+  OptionalLong appliedIn(ConfigurationTable table);
 
   /** What to do after a read of the table. */
   sealed interface Step {
@@ -64,7 +64,7 @@
        * @param revision the revision that contains them
        * @return a change that a table can merge
        */
-      public Table committedAt(long revision) {
+      public ConfigurationTable committedAt(long revision) {
         var r = new TreeMap<RouteKey, Route>();
         routes.forEach(x -> r.put(x.key(), x.withVersion(revision)));
         var d = new TreeMap<DataCentre, DataCentreRow>();
@@ -72,8 +72,8 @@
             x ->
                 d.put(
                     x.dataCentre(),
-                    new DataCentreRow(x.dataCentre(), x.out(), revision, x.operations())));
-        return new Table(revision, r, d);
+                    new DataCentreRow(x.dataCentre(), x.evacuated(), revision, x.operations())));
+        return new ConfigurationTable(revision, r, d);
       }
 
       /**
@@ -83,7 +83,7 @@
        * @param now the table as just read
        * @return what the rows tell
        */
-      public CommitFate fate(Table now) {
+      public CommitFate fate(ConfigurationTable now) {
         Objects.requireNonNull(now, "now is null");
         return Stream.concat(
                 routes.stream()
@@ -120,7 +120,7 @@
         }
         boolean remembersAll =
             written.size() == 1
-                ? operations.size() < Route.OPERATIONS_KEPT
+                ? operations.size() < Route.MAX_RECORDED_OPERATIONS
                 : operations.contains(written.get(1));
         return remembersAll ? CommitFate.RULED_OUT : CommitFate.UNTRACEABLE;
       }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.decisions.placing;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.ServiceRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.ServiceSettings;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -173,7 +173,7 @@
 
   Outcome scheduled(boolean probes, Second second) {
     var scheduler = new Scheduler(SETTINGS);
-    var rule = new ServiceRule("s", "/h", 100, 3_000, 14);
+    var rule = new ServiceSettings("s", "/h", 100, 3_000, 14);
     List<Job> running = new ArrayList<>();
     Map<AskKey, Arrival> asked = new HashMap<>();
     Set<Arrival> done = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -201,7 +201,7 @@
         }
       }
       if (probes && now % PROBE_MS == 0) {
-        for (UpstreamEntry u : scheduler.probes(now)) {
+        for (UpstreamRegistration u : scheduler.probes(now)) {
           probing.add(new long[] {now + WAY_MS, Integer.parseInt(u.id().substring(1))});
         }
       }
@@ -253,13 +253,13 @@
     return tally.outcome();
   }
 
-  private List<UpstreamEntry> entries(long now) {
-    List<UpstreamEntry> out = new ArrayList<>();
+  private List<UpstreamRegistration> entries(long now) {
+    List<UpstreamRegistration> out = new ArrayList<>();
     for (int u = 0; u < upstreams; u++) {
       if (pattern.there(u, now)) {
         var address = new Address("127.0.0.1", 1_000 + u);
         out.add(
-            new UpstreamEntry(
+            new UpstreamRegistration(
                 "u" + u, "s", address, "dc", slots, false, pattern.coldMs(u, now), 1));
       }
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.decisions.matching.WeightedParts;
+import dev.cactusstack.decisions.matching.WeightedRoundRobin;
 import dev.cactusstack.decisions.placing.WorkTimes;
 import dev.cactusstack.decisions.retries.Patience;
 import dev.cactusstack.decisions.retries.RepeatWindow;
@@ -42,7 +42,7 @@
     UpstreamWire wire,
     HttpClient client,
     Placement placement,
-    WeightedParts parts,
+    WeightedRoundRobin parts,
     Map<String, RepeatWindow> repeats,
     Map<String, RestBound> rests,
     WorkTimes workTimes,
@@ -81,7 +81,7 @@
         wire,
         client,
         placement,
-        new WeightedParts(),
+        new WeightedRoundRobin(),
         new HashMap<>(),
         new HashMap<>(),
         new WorkTimes(),
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -4,10 +4,10 @@
 import dev.cactusstack.decisions.recovery.Plan;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.model.Table;
 import dev.cactusstack.storage.TableStore;
 import dev.cactusstack.storage.TableStore.CommitOutcome;
 import java.util.Objects;
@@ -82,7 +82,7 @@
     }
 
     CompletableFuture<EditOutcome> readAndCommit(int tries) {
-      Table known = configuration.inForce();
+      ConfigurationTable known = configuration.inForce();
       return store
           .changesAfter(known.version())
           .handle(
@@ -91,7 +91,7 @@
           .thenCompose(f -> f);
     }
 
-    private CompletableFuture<EditOutcome> decide(Table now, int tries) {
+    private CompletableFuture<EditOutcome> decide(ConfigurationTable now, int tries) {
       configuration.learn(now);
       Plan.Step.Commit earlier = lost;
       if (earlier == null) {
@@ -110,14 +110,15 @@
       };
     }
 
-    private CompletableFuture<EditOutcome> start(Table now, int tries) {
+    private CompletableFuture<EditOutcome> start(ConfigurationTable now, int tries) {
       Plan.Step step = plan.against(now);
       return step instanceof Plan.Step.Commit c
           ? commit(c, now, tries)
           : done(((Plan.Step.Done) step).outcome());
     }
 
-    private CompletableFuture<EditOutcome> commit(Plan.Step.Commit c, Table base, int tries) {
+    private CompletableFuture<EditOutcome> commit(
+        Plan.Step.Commit c, ConfigurationTable base, int tries) {
       return store
           .commit(c.routes(), c.dataCentres())
           .handle(
@@ -127,7 +128,7 @@
     }
 
     private CompletableFuture<EditOutcome> committed(
-        Plan.Step.Commit commit, Table base, CommitOutcome o, int tries) {
+        Plan.Step.Commit commit, ConfigurationTable base, CommitOutcome o, int tries) {
       if (o instanceof CommitOutcome.Committed c) {
         // The platform may go down before the next read. The rows are put into force from the
         // commit
