--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/Member.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/Member.java
@@ -62,7 +62,7 @@
    *
    * @return true when it is not dead and not leaving
    */
-  public boolean serves() {
+  public boolean isServing() {
     return status != MemberStatus.DEAD && !info.leaving();
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/Membership.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/Membership.java
@@ -84,7 +84,7 @@
    *
    * @param info the next statement
    */
-  public void announce(MemberInfo info) {
+  public void updateSelf(MemberInfo info) {
     Member next = self().with(info);
     if (isUrgent(self(), next)) {
       queue.add(self);
@@ -107,7 +107,7 @@
    *
    * @param links the listed link addresses
    */
-  public void list(Collection<Address> links) {
+  public void updateHostList(Collection<Address> links) {
     listed.keySet().retainAll(links);
     links.stream()
         .filter(a -> !a.equals(self().info().link()))
@@ -120,24 +120,24 @@
    * @param nowMs the present time, in milliseconds on a steady clock
    * @return messages to send
    */
-  public List<Outgoing> tick(long nowMs) {
-    var out = new ArrayList<Outgoing>();
+  public List<OutgoingMessage> tick(long nowMs) {
+    var out = new ArrayList<OutgoingMessage>();
     askOthers(nowMs, out);
     if (nowMs >= nextProbeMs) {
       // A probe that could not be judged in time, as after a pause of this host, is not counted.
-      boolean late = nextProbeMs > 0 && nowMs - nextProbeMs > timings.periodMs();
+      boolean late = nextProbeMs > 0 && nowMs - nextProbeMs > timings.probeIntervalMs();
       judgeProbe(nowMs, late);
       expire(nowMs, late);
       probeNext(nowMs, out);
       rejoin(nowMs, out);
-      nextProbeMs = nowMs + timings.periodMs();
+      nextProbeMs = nowMs + timings.probeIntervalMs();
     }
     return out;
   }
 
-  private void askOthers(long nowMs, List<Outgoing> out) {
+  private void askOthers(long nowMs, List<OutgoingMessage> out) {
     Pending p = pending;
-    if (p == null || p.asked || nowMs - p.sentMs < timings.directMs()) {
+    if (p == null || p.asked || nowMs - p.sentMs < timings.directTimeoutMs()) {
       return;
     }
     pending = new Pending(p.target, p.number, p.sentMs, true);
@@ -150,7 +150,9 @@
     Collections.shuffle(helpers, random);
     helpers.stream()
         .limit(INDIRECT_PROBES)
-        .map(m -> send(m.info().link(), new Probe.PingRequest(p.number, target.info().link())))
+        .map(
+            m ->
+                send(m.info().link(), new ProbeMessage.PingRequest(p.number, target.info().link())))
         .forEach(out::add);
   }
 
@@ -168,19 +170,19 @@
       long age = nowMs - since.getOrDefault(m.id(), nowMs);
       if (m.status() == MemberStatus.SUSPECT && late) {
         since.put(m.id(), nowMs);
-      } else if (m.status() == MemberStatus.SUSPECT && age >= timings.suspicionMs()) {
+      } else if (m.status() == MemberStatus.SUSPECT && age >= timings.suspicionTimeoutMs()) {
         replace(m.with(MemberStatus.DEAD), nowMs);
-      } else if (m.status() == MemberStatus.DEAD && age >= timings.forgetMs()) {
+      } else if (m.status() == MemberStatus.DEAD && age >= timings.deadRetentionMs()) {
         members.remove(m.id());
         since.remove(m.id());
         roundTrips.remove(m.id());
         queue.remove(m.id());
       }
     }
-    relays.values().removeIf(r -> nowMs - r.sentMs > timings.periodMs());
+    relays.values().removeIf(r -> nowMs - r.sentMs > timings.probeIntervalMs());
   }
 
-  private void probeNext(long nowMs, List<Outgoing> out) {
+  private void probeNext(long nowMs, List<OutgoingMessage> out) {
     order.removeIf(id -> !isProbed(id));
     if (order.isEmpty()) {
       others().stream().map(Member::id).filter(this::isProbed).forEach(order::add);
@@ -191,7 +193,7 @@
     }
     Member target = Objects.requireNonNull(members.get(order.remove(order.size() - 1)));
     pending = new Pending(target.id(), ++nextNumber, nowMs, false);
-    out.add(send(target.info().link(), new Probe.Ping(nextNumber)));
+    out.add(send(target.info().link(), new ProbeMessage.Ping(nextNumber)));
   }
 
   private boolean isProbed(HostId id) {
@@ -199,7 +201,7 @@
     return m != null && m.status() != MemberStatus.DEAD;
   }
 
-  private void rejoin(long nowMs, List<Outgoing> out) {
+  private void rejoin(long nowMs, List<OutgoingMessage> out) {
     var live =
         others().stream()
             .filter(m -> m.status() != MemberStatus.DEAD)
@@ -207,13 +209,13 @@
             .toList();
     listed.entrySet().stream()
         .filter(e -> !live.contains(e.getKey()))
-        .filter(e -> e.getValue() == 0 || nowMs - e.getValue() >= timings.rejoinMs())
+        .filter(e -> e.getValue() == 0 || nowMs - e.getValue() >= timings.rejoinIntervalMs())
         .limit(REJOINS_PER_PERIOD)
         .toList()
         .forEach(
             e -> {
               listed.put(e.getKey(), nowMs);
-              out.add(send(e.getKey(), new Probe.Ping(++nextNumber)));
+              out.add(send(e.getKey(), new ProbeMessage.Ping(++nextNumber)));
             });
   }
 
@@ -227,19 +229,19 @@
    * @param nowMs the present time on the clock of {@link #tick}
    * @return messages to send
    */
-  public List<Outgoing> receive(
-      Address from, Probe probe, Member sender, List<Member> updates, long nowMs) {
+  public List<OutgoingMessage> receive(
+      Address from, ProbeMessage probe, Member sender, List<Member> updates, long nowMs) {
     learn(sender, nowMs);
     updates.forEach(m -> learn(m, nowMs));
     tellIfDoubted(sender.id());
-    if (probe instanceof Probe.Ping p) {
-      return List.of(send(from, new Probe.Ack(p.number())));
+    if (probe instanceof ProbeMessage.Ping p) {
+      return List.of(send(from, new ProbeMessage.Ack(p.number())));
     }
-    if (probe instanceof Probe.PingRequest r) {
+    if (probe instanceof ProbeMessage.PingRequest r) {
       relays.put(++nextNumber, new Relay(from, r.number(), nowMs));
-      return List.of(send(r.target(), new Probe.Ping(nextNumber)));
+      return List.of(send(r.target(), new ProbeMessage.Ping(nextNumber)));
     }
-    return acknowledged(((Probe.Ack) probe).number(), sender.id(), nowMs);
+    return acknowledged(((ProbeMessage.Ack) probe).number(), sender.id(), nowMs);
   }
 
   /** Lets a member that still sends, as after a pause, learn that it has to refute. */
@@ -250,7 +252,7 @@
     }
   }
 
-  private List<Outgoing> acknowledged(long number, HostId from, long nowMs) {
+  private List<OutgoingMessage> acknowledged(long number, HostId from, long nowMs) {
     Pending p = pending;
     if (p != null && p.number == number) {
       pending = null;
@@ -259,7 +261,7 @@
       }
     }
     Relay r = relays.remove(number);
-    return r == null ? List.of() : List.of(send(r.asker, new Probe.Ack(r.askerNumber)));
+    return r == null ? List.of() : List.of(send(r.asker, new ProbeMessage.Ack(r.askerNumber)));
   }
 
   private void noteRoundTrip(HostId id, long ms) {
@@ -316,7 +318,7 @@
     return members.values().stream().filter(m -> !m.id().equals(self)).toList();
   }
 
-  private Outgoing send(Address to, Probe probe) {
-    return new Outgoing(to, probe, self(), queue.take(members));
+  private OutgoingMessage send(Address to, ProbeMessage probe) {
+    return new OutgoingMessage(to, probe, self(), queue.take(members));
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/Outgoing.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/OutgoingMessage.java
@@ -7,16 +7,17 @@
 /**
  * A message to send. Immutable and thread-safe.
  *
- * @param to the receiver's link address
+ * @param receiver the receiver's link address
  * @param probe the message
  * @param sender the sending member's claim about itself
  * @param updates claims about other members
  */
-public record Outgoing(Address to, Probe probe, Member sender, List<Member> updates) {
+public record OutgoingMessage(
+    Address receiver, ProbeMessage probe, Member sender, List<Member> updates) {
 
   /** Checks the components and copies the updates. */
-  public Outgoing {
-    Objects.requireNonNull(to, "to is null");
+  public OutgoingMessage {
+    Objects.requireNonNull(receiver, "to is null");
     Objects.requireNonNull(probe, "probe is null");
     Objects.requireNonNull(sender, "sender is null");
     updates = List.copyOf(updates);
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptEnd.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptOutcome.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** How an attempt to run a request on an upstream ended. Thread-safe. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
   /** A whole answer that isn't a server error. */
   ANSWERED(false, false),
   /** A whole answer with a server error; the request ran. */
@@ -23,12 +23,12 @@
   /** The place was not used; nothing was sent. */
   UNUSED(true, false);
 
-  private final boolean notRun;
-  private final boolean fault;
+  private final boolean provesNotRun;
+  private final boolean upstreamFault;
 
-  AttemptEnd(boolean notRun, boolean fault) {
-    this.notRun = notRun;
-    this.fault = fault;
+  AttemptOutcome(boolean provesNotRun, boolean upstreamFault) {
+    this.provesNotRun = provesNotRun;
+    this.upstreamFault = upstreamFault;
   }
 
   /**
@@ -45,8 +45,8 @@
    *
    * @return true when the request can be sent again whatever its kind
    */
-  public boolean notRun() {
-    return notRun;
+  public boolean provesNotRun() {
+    return provesNotRun;
   }
 
   /**
@@ -54,7 +54,7 @@
    *
    * @return true for a fault of the upstream or of the way to it
    */
-  public boolean fault() {
-    return fault;
+  public boolean upstreamFault() {
+    return upstreamFault;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Expectation.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Expectation.java
@@ -10,19 +10,19 @@
  * @param settings what ways and connections take
  * @param workTimes how long work takes as usual
  */
-record Expectation(SchedulerSettings settings, WorkTimes workTimes) {
+record Expectation(SchedulerSettings settings, ProcessingTimes workTimes) {
   private static final double OCCUPIED_WEIGHT = 0.4;
   private static final double FAULT_WEIGHT = 4;
   private static final double COLD_PACE = 2.5;
   private static final double BYTES_PER_KB = 1_000;
 
   /** The work of a request on an undisturbed upstream. */
-  double workMs(Ask ask) {
-    return workTimes.of(ask.route(), ask.objectiveMs());
+  double workMs(PlacementRequest ask) {
+    return workTimes.estimateMs(ask.route(), ask.latencyObjectiveMs());
   }
 
   /** From now to the answer, if the request is sent to the upstream now. */
-  double ms(UpstreamLoad l, Ask ask, double meanPace, long nowMs) {
+  double ms(UpstreamLoad l, PlacementRequest ask, double meanPace, long nowMs) {
     double pace = l.expectedPace(meanPace, nowMs);
     if (l.cold(nowMs)) {
       pace = Math.max(pace, 1) * COLD_PACE;
@@ -32,23 +32,24 @@
     return run * (1 + FAULT_WEIGHT * l.faults()) + wayMs(l.entry(), ask) + connectMs(l, ask, nowMs);
   }
 
-  private double wayMs(UpstreamEntry e, Ask ask) {
+  private double wayMs(UpstreamEntry e, PlacementRequest ask) {
     if (near(e, ask)) {
       return 0;
     }
     double kb = ask.bodyBytes() / BYTES_PER_KB;
-    return settings.crossDataCentreMs() + kb * settings.crossDataCentreMsPerKb();
+    return settings.crossDataCentreRoundTripMs() + kb * settings.crossDataCentreMsPerKb();
   }
 
   /** What a new connection takes: another round trip, and a slot of the upstream for a moment. */
-  private double connectMs(UpstreamLoad l, Ask ask, long nowMs) {
-    if (l.connected(ask.key().host(), nowMs)) {
+  private double connectMs(UpstreamLoad l, PlacementRequest ask, long nowMs) {
+    if (l.connected(ask.key().hostHash(), nowMs)) {
       return 0;
     }
-    return settings.connectMs() + (near(l.entry(), ask) ? 0 : settings.crossDataCentreMs());
+    return settings.connectCostMs()
+        + (near(l.entry(), ask) ? 0 : settings.crossDataCentreRoundTripMs());
   }
 
-  private static boolean near(UpstreamEntry e, Ask ask) {
+  private static boolean near(UpstreamEntry e, PlacementRequest ask) {
     return e.dataCentre().equals(ask.dataCentre());
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Verdict.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementDecision.java
@@ -3,13 +3,13 @@
 import dev.cactusstack.model.site.UpstreamEntry;
 
 /** What was decided about an ask. Implementations are immutable. */
-public sealed interface Verdict {
+public sealed interface PlacementDecision {
   /**
    * Returns the ask that this is about.
    *
    * @return its key
    */
-  AskKey key();
+  PlacementKey key();
 
   /**
    * The request may be sent to an upstream now; one of its slots is held until a report.
@@ -17,7 +17,7 @@
    * @param key the ask
    * @param upstream where to send the request
    */
-  record Placed(AskKey key, UpstreamEntry upstream) implements Verdict {}
+  record Placed(PlacementKey key, UpstreamEntry upstream) implements PlacementDecision {}
 
   /**
    * The request can't be served in time.
@@ -25,12 +25,12 @@
    * @param key the ask
    * @param retryAfterMs when there is likely to be room, in milliseconds from now
    */
-  record TurnedAway(AskKey key, long retryAfterMs) implements Verdict {}
+  record Rejected(PlacementKey key, long retryAfterMs) implements PlacementDecision {}
 
   /**
    * The request waits for a slot; a later verdict follows.
    *
    * @param key the ask
    */
-  record Waits(AskKey key) implements Verdict {}
+  record Queued(PlacementKey key) implements PlacementDecision {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Ask.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementRequest.java
@@ -10,30 +10,31 @@
  * @param dataCentre the data centre of the asking host
  * @param route the name of the request's route
  * @param priority rank of the route, 0 first
- * @param objectiveMs the route's latency objective, in milliseconds
- * @param onTimeMs time left until the caller's objective is missed, in milliseconds, 0 if it is
- * @param leftMs time left until the request must have its answer, in milliseconds
+ * @param latencyObjectiveMs the route's latency objective, in milliseconds
+ * @param objectiveRemainingMs time left until the caller's objective is missed, in milliseconds, 0
+ *     if it is
+ * @param deadlineRemainingMs time left until the request must have its answer, in milliseconds
  * @param bodyBytes size of its body
- * @param spare whether it is a second attempt beside a running one, which never waits and takes
+ * @param hedge whether it is a second attempt beside a running one, which never waits and takes
  *     only a slot that nobody waits for
- * @param tried upstreams that must not be chosen
+ * @param excludedUpstreams upstreams that must not be chosen
  */
-public record Ask(
-    AskKey key,
+public record PlacementRequest(
+    PlacementKey key,
     String dataCentre,
     String route,
     int priority,
-    long objectiveMs,
-    long onTimeMs,
-    long leftMs,
+    long latencyObjectiveMs,
+    long objectiveRemainingMs,
+    long deadlineRemainingMs,
     int bodyBytes,
-    boolean spare,
-    Set<String> tried) {
+    boolean hedge,
+    Set<String> excludedUpstreams) {
   /** Checks and copies the components. */
-  public Ask {
+  public PlacementRequest {
     Objects.requireNonNull(key, "key is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
     Objects.requireNonNull(route, "route is null");
-    tried = Set.copyOf(tried);
+    excludedUpstreams = Set.copyOf(excludedUpstreams);
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/LoadFigures.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/ReportedLoad.java
@@ -6,23 +6,23 @@
  * @param running requests running
  * @param waiting requests waiting for a slot
  * @param slots requests that can run at the same time
- * @param pacePercent how long work takes at the moment, 100 as usual
+ * @param slowdownPercent how long work takes at the moment, 100 as usual
  */
-public record LoadFigures(int running, int waiting, int slots, int pacePercent) {
+public record ReportedLoad(int running, int waiting, int slots, int slowdownPercent) {
   /** How long work takes on an undisturbed upstream, in percent. */
-  public static final int USUAL_PACE = 100;
+  public static final int NORMAL_SLOWDOWN_PERCENT = 100;
 
   /**
    * Returns how much longer than usual work takes.
    *
    * @return 1 as usual
    */
-  public double pace() {
-    return pacePercent / (double) USUAL_PACE;
+  public double slowdown() {
+    return slowdownPercent / (double) NORMAL_SLOWDOWN_PERCENT;
   }
 
   @Override
   public String toString() {
-    return running + "," + waiting + "," + slots + "," + pacePercent;
+    return running + "," + waiting + "," + slots + "," + slowdownPercent;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
@@ -33,9 +33,9 @@
 
   private final SchedulerSettings settings;
   private final Map<String, UpstreamLoad> loads = new HashMap<>();
-  private final Map<AskKey, Held> held = new HashMap<>();
+  private final Map<PlacementKey, Held> held = new HashMap<>();
   private final WaitingLine line = new WaitingLine();
-  private final WorkTimes workTimes = new WorkTimes();
+  private final ProcessingTimes workTimes = new ProcessingTimes();
   private final Expectation expectation;
   private final ReturnTimes returnTimes = new ReturnTimes();
   private double meanPace = 1.3;
@@ -60,8 +60,8 @@
    * @param usable the upstreams that may get work
    * @param nowMs the present time on a steady clock, in milliseconds
    */
-  public void upstreams(ServiceRule rule, Collection<UpstreamEntry> usable, long nowMs) {
-    coldBound = settings.coldBound(rule.coldPerSecond());
+  public void updateUpstreams(ServiceRule rule, Collection<UpstreamEntry> usable, long nowMs) {
+    coldBound = settings.warmupRequestLimit(rule.coldPerSecond());
     Map<String, UpstreamLoad> kept = new HashMap<>();
     for (UpstreamEntry e : usable) {
       UpstreamLoad load = loads.get(e.id());
@@ -84,21 +84,21 @@
    * @param nowMs the present time on the same clock
    * @return a place, a wait, or a refusal; a refusal of another request that waited may come along
    */
-  public List<Verdict> ask(Ask ask, long nowMs) {
-    Optional<Verdict> known = decided(ask.key());
+  public List<PlacementDecision> submit(PlacementRequest ask, long nowMs) {
+    Optional<PlacementDecision> known = decided(ask.key());
     if (known.isPresent()) {
       return List.of(known.get());
     }
     askRate = askRate(nowMs) + 1 / ASK_RATE_MEMORY_MS;
     askRateAtMs = nowMs;
-    if (ask.spare()) {
+    if (ask.hedge()) {
       return List.of(spare(ask, nowMs));
     }
-    if (loads.values().stream().allMatch(l -> ask.tried().contains(l.entry().id()))) {
+    if (loads.values().stream().allMatch(l -> ask.excludedUpstreams().contains(l.entry().id()))) {
       return List.of(turnAway(ask, NO_UPSTREAM_MS, nowMs));
     }
     var newcomer = new WaitingLine.Waiting(ask, nowMs, 0);
-    Optional<Verdict> place = tryPlace(newcomer, nowMs);
+    Optional<PlacementDecision> place = tryPlace(newcomer, nowMs);
     if (place.isPresent()) {
       return List.of(place.get());
     }
@@ -109,17 +109,17 @@
       return List.of(turnAway(ask, 0, nowMs));
     }
     line.add(ask, nowMs);
-    return List.of(new Verdict.Waits(ask.key()));
+    return List.of(new PlacementDecision.Queued(ask.key()));
   }
 
-  private Optional<Verdict> decided(AskKey key) {
+  private Optional<PlacementDecision> decided(PlacementKey key) {
     Held h = held.get(key);
     UpstreamLoad load = h == null ? null : loads.get(h.upstream());
     if (load != null) {
-      return Optional.of(new Verdict.Placed(key, load.entry()));
+      return Optional.of(new PlacementDecision.Placed(key, load.entry()));
     }
     return line.count(w -> w.ask().key().equals(key)) > 0
-        ? Optional.of(new Verdict.Waits(key))
+        ? Optional.of(new PlacementDecision.Queued(key))
         : Optional.empty();
   }
 
@@ -127,19 +127,19 @@
    * Places a second attempt if a slot is left over. Under high load it would take the slot of a
    * request that has none.
    */
-  private Verdict spare(Ask ask, long nowMs) {
-    Optional<Verdict> place =
+  private PlacementDecision spare(PlacementRequest ask, long nowMs) {
+    Optional<PlacementDecision> place =
         line.size() > 0
             ? Optional.empty()
             : tryPlace(new WaitingLine.Waiting(ask, nowMs, 0), nowMs);
-    return place.orElseGet(() -> new Verdict.TurnedAway(ask.key(), 0));
+    return place.orElseGet(() -> new PlacementDecision.Rejected(ask.key(), 0));
   }
 
   /** Lets a request wait that can be on time, in place of the oldest if too many wait. */
-  private List<Verdict> waitOnTime(Ask ask, long nowMs) {
+  private List<PlacementDecision> waitOnTime(PlacementRequest ask, long nowMs) {
     line.add(ask, nowMs);
-    List<Verdict> out = new ArrayList<>();
-    out.add(new Verdict.Waits(ask.key()));
+    List<PlacementDecision> out = new ArrayList<>();
+    out.add(new PlacementDecision.Queued(ask.key()));
     if (line.count(w -> onTime(w, nowMs)) > mostOnTime(ask)) {
       line.takeLast(w -> onTime(w, nowMs)).ifPresent(w -> out.add(turnAway(w.ask(), 0, nowMs)));
     }
@@ -147,8 +147,8 @@
   }
 
   /** How many requests can get a slot while the newest of them can still be on time. */
-  private double mostOnTime(Ask ask) {
-    double wait = Math.max(0, ask.onTimeMs() - expectation.workMs(ask) * ON_TIME_SLACK);
+  private double mostOnTime(PlacementRequest ask) {
+    double wait = Math.max(0, ask.objectiveRemainingMs() - expectation.workMs(ask) * ON_TIME_SLACK);
     return 1 + wait / eachMs(ask);
   }
 
@@ -159,18 +159,19 @@
    * @param nowMs the present time on the same clock
    * @return places for requests that waited
    */
-  public List<Verdict> report(Report r, long nowMs) {
+  public List<PlacementDecision> report(AttemptReport r, long nowMs) {
     Held h = held.remove(r.key());
     if (h == null) {
       return List.of();
     }
-    UpstreamLoad load = loads.get(r.upstream());
+    UpstreamLoad load = loads.get(r.upstreamId());
     if (load != null) {
       load.ended(r, nowMs);
     }
-    if (r.end() == AttemptEnd.ANSWERED && r.load().isPresent()) {
+    if (r.outcome() == AttemptOutcome.ANSWERED && r.load().isPresent()) {
       learnMeanPace(r.load().get());
-      workTimes.took(h.ask.route(), h.ask.objectiveMs(), r.tookMs(), r.load().get().pace());
+      workTimes.recordResponse(
+          h.ask.route(), h.ask.latencyObjectiveMs(), r.durationMs(), r.load().get().slowdown());
     }
     return fill(nowMs);
   }
@@ -183,7 +184,7 @@
    * @param nowMs the present time on the same clock
    * @return upstreams to probe now, those heard of least lately first
    */
-  public List<UpstreamEntry> probes(long nowMs) {
+  public List<UpstreamEntry> selectProbeTargets(long nowMs) {
     List<UpstreamLoad> stale = new ArrayList<>();
     int good = 0;
     for (UpstreamLoad l : loads.values()) {
@@ -224,7 +225,8 @@
    * @param nowMs the present time on the same clock
    * @return places for requests that waited
    */
-  public List<Verdict> probed(String upstream, LoadFigures figures, long nowMs) {
+  public List<PlacementDecision> recordProbeResponse(
+      String upstream, ReportedLoad figures, long nowMs) {
     UpstreamLoad load = loads.get(upstream);
     if (load != null) {
       load.probed(figures, nowMs);
@@ -233,8 +235,8 @@
     return fill(nowMs);
   }
 
-  private void learnMeanPace(LoadFigures figures) {
-    meanPace += (figures.pace() - meanPace) * MEAN_PACE_STEP;
+  private void learnMeanPace(ReportedLoad figures) {
+    meanPace += (figures.slowdown() - meanPace) * MEAN_PACE_STEP;
   }
 
   /**
@@ -242,7 +244,7 @@
    *
    * @param key its ask
    */
-  public void withdraw(AskKey key) {
+  public void cancel(PlacementKey key) {
     line.remove(key);
     Held h = held.remove(key);
     UpstreamLoad load = h == null ? null : loads.get(h.upstream());
@@ -257,10 +259,10 @@
    * @param nowMs the present time on the same clock
    * @return the decisions
    */
-  public List<Verdict> tick(long nowMs) {
+  public List<PlacementDecision> tick(long nowMs) {
     loads.values().forEach(l -> l.dropHoldsBefore(nowMs - LONGEST_HOLD_MS));
     held.values().removeIf(h -> h.sinceMs < nowMs - LONGEST_HOLD_MS);
-    List<Verdict> out = new ArrayList<>(fill(nowMs));
+    List<PlacementDecision> out = new ArrayList<>(fill(nowMs));
     boolean overloaded = overloaded(nowMs);
     List<WaitingLine.Waiting> hopeless =
         line.takeAll(
@@ -278,13 +280,13 @@
     return w.onTimeMs(nowMs) >= expectation.workMs(w.ask()) * ON_TIME_SLACK;
   }
 
-  private static double longestWaitMs(Ask ask) {
-    return Math.min(ask.objectiveMs(), ask.leftMs() * WAIT_SHARE);
+  private static double longestWaitMs(PlacementRequest ask) {
+    return Math.min(ask.latencyObjectiveMs(), ask.deadlineRemainingMs() * WAIT_SHARE);
   }
 
-  private Verdict turnAway(Ask ask, double aheadMs, long nowMs) {
+  private PlacementDecision turnAway(PlacementRequest ask, double aheadMs, long nowMs) {
     double ahead = Math.max(aheadMs, expectedWaitMs(ask));
-    return new Verdict.TurnedAway(ask.key(), returnTimes.next(ahead, eachMs(ask), nowMs));
+    return new PlacementDecision.Rejected(ask.key(), returnTimes.next(ahead, eachMs(ask), nowMs));
   }
 
   /**
@@ -292,7 +294,7 @@
    *
    * @return true while a tick may have something to do soon
    */
-  public boolean busy() {
+  public boolean hasQueuedRequests() {
     return line.size() > 0;
   }
 
@@ -303,16 +305,16 @@
    * @param nowMs the present time on the same clock
    * @return occupied slots, expected pace and the age of its report, faults, requests waiting
    */
-  public String describe(String upstream, long nowMs) {
+  public String describeUpstream(String upstream, long nowMs) {
     UpstreamLoad l = loads.get(upstream);
     return l == null ? "unknown" : l.describe(meanPace, nowMs) + ",waiting=" + line.size();
   }
 
-  private List<Verdict> fill(long nowMs) {
+  private List<PlacementDecision> fill(long nowMs) {
     if (line.size() == 0) {
       return List.of();
     }
-    List<Verdict> out = new ArrayList<>();
+    List<PlacementDecision> out = new ArrayList<>();
     for (WaitingLine.Waiting w : line.ordered(x -> onTime(x, nowMs))) {
       tryPlace(w, nowMs)
           .ifPresent(
@@ -328,7 +330,7 @@
    * Places a request if a free slot is good for it: one on which it will be on time if it can be,
    * else one on which it gets an answer at all.
    */
-  private Optional<Verdict> tryPlace(WaitingLine.Waiting w, long nowMs) {
+  private Optional<PlacementDecision> tryPlace(WaitingLine.Waiting w, long nowMs) {
     Optional<UpstreamLoad> best = best(w.ask(), nowMs);
     if (best.isEmpty()) {
       return Optional.empty();
@@ -338,18 +340,18 @@
     return expected <= bound ? Optional.of(place(w.ask(), best.get(), nowMs)) : Optional.empty();
   }
 
-  private Verdict place(Ask ask, UpstreamLoad load, long nowMs) {
+  private PlacementDecision place(PlacementRequest ask, UpstreamLoad load, long nowMs) {
     load.hold(ask.key(), expectation.workMs(ask), nowMs);
     held.put(ask.key(), new Held(ask, load.entry().id(), nowMs));
-    return new Verdict.Placed(ask.key(), load.entry());
+    return new PlacementDecision.Placed(ask.key(), load.entry());
   }
 
-  private Optional<UpstreamLoad> best(Ask ask, long nowMs) {
+  private Optional<UpstreamLoad> best(PlacementRequest ask, long nowMs) {
     UpstreamLoad best = null;
     double bestMs = Double.MAX_VALUE;
     boolean allRest = loads.values().stream().allMatch(l -> l.resting(nowMs));
     for (UpstreamLoad l : loads.values()) {
-      if (!eligible(l, ask.tried(), allRest, nowMs)) {
+      if (!eligible(l, ask.excludedUpstreams(), allRest, nowMs)) {
         continue;
       }
       double ms = expectation.ms(l, ask, meanPace, nowMs);
@@ -374,15 +376,15 @@
     return !l.resting(nowMs) && (!l.onTrial() || l.idle());
   }
 
-  private double expectedWaitMs(Ask ask) {
+  private double expectedWaitMs(PlacementRequest ask) {
     return (line.size() + 1) * eachMs(ask);
   }
 
   /** Time between two requests like this that the service can take. */
-  private double eachMs(Ask ask) {
+  private double eachMs(PlacementRequest ask) {
     int slots = loads.values().stream().mapToInt(l -> l.entry().slots()).sum();
     return expectation.workMs(ask) * meanPace / Math.max(1, slots);
   }
 
-  private record Held(Ask ask, String upstream, long sinceMs) {}
+  private record Held(PlacementRequest ask, String upstream, long sinceMs) {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
@@ -24,7 +24,7 @@
   private static final double OVERDUE_RATIO = 2.0;
   private static final long CONNECTION_KEPT_MS = 5_000;
 
-  private final Map<AskKey, Hold> holds = new HashMap<>();
+  private final Map<PlacementKey, Hold> holds = new HashMap<>();
   private final Map<Integer, Long> usedBy = new HashMap<>();
   private final ColdBound coldBound = new ColdBound();
   private UpstreamEntry entry;
@@ -90,26 +90,26 @@
     return holds.isEmpty();
   }
 
-  void hold(AskKey key, double expectedMs, long nowMs) {
+  void hold(PlacementKey key, double expectedMs, long nowMs) {
     holds.put(key, new Hold(nowMs, expectedMs));
     usedBy.values().removeIf(at -> nowMs - at >= CONNECTION_KEPT_MS);
     coldBound.count(nowMs);
   }
 
-  void release(AskKey key) {
+  void release(PlacementKey key) {
     holds.remove(key);
   }
 
   /** Takes a report in. */
-  void ended(Report r, long nowMs) {
+  void ended(AttemptReport r, long nowMs) {
     holds.remove(r.key());
-    if (r.end() == AttemptEnd.ANSWERED) {
-      usedBy.put(r.key().host(), nowMs);
+    if (r.outcome() == AttemptOutcome.ANSWERED) {
+      usedBy.put(r.key().hostHash(), nowMs);
     }
     r.load().ifPresent(l -> told(l, nowMs));
-    if (r.end().fault()) {
+    if (r.outcome().upstreamFault()) {
       fault(nowMs);
-    } else if (r.end() == AttemptEnd.ANSWERED) {
+    } else if (r.outcome() == AttemptOutcome.ANSWERED) {
       faults *= 1 - FAULT_STEP;
       rests = faults < FAULT_LIMIT ? 0 : rests;
     }
@@ -122,7 +122,7 @@
   }
 
   /** Takes in what the upstream answered to a probe. */
-  void probed(LoadFigures l, long nowMs) {
+  void probed(ReportedLoad l, long nowMs) {
     told(l, nowMs);
   }
 
@@ -139,8 +139,8 @@
     return paceAgeMs(nowMs) < freshMs && pace < GOOD_PACE;
   }
 
-  private void told(LoadFigures l, long nowMs) {
-    pace = Math.max(0.1, l.pace());
+  private void told(ReportedLoad l, long nowMs) {
+    pace = Math.max(0.1, l.slowdown());
     paceAtMs = nowMs;
     foreign = Math.max(0, l.running() + l.waiting() - holds.size());
     foreignAtMs = nowMs;
@@ -184,11 +184,11 @@
         + "/"
         + entry.slots()
         + ",pace="
-        + Math.round(expectedPace(meanPace, nowMs) * LoadFigures.USUAL_PACE)
+        + Math.round(expectedPace(meanPace, nowMs) * ReportedLoad.NORMAL_SLOWDOWN_PERCENT)
         + ",age_ms="
         + paceAgeMs(nowMs)
         + ",faults="
-        + Math.round(faults * LoadFigures.USUAL_PACE);
+        + Math.round(faults * ReportedLoad.NORMAL_SLOWDOWN_PERCENT);
   }
 
   /** Frees slots whose report is not going to come. */
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/WaitingLine.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/WaitingLine.java
@@ -24,7 +24,7 @@
   private final List<Waiting> line = new ArrayList<>();
   private long lastOrder;
 
-  void add(Ask ask, long nowMs) {
+  void add(PlacementRequest ask, long nowMs) {
     line.add(new Waiting(ask, nowMs, ++lastOrder));
   }
 
@@ -32,7 +32,7 @@
     return line.size();
   }
 
-  boolean remove(AskKey key) {
+  boolean remove(PlacementKey key) {
     return line.removeIf(w -> w.ask.key().equals(key));
   }
 
@@ -66,13 +66,13 @@
   }
 
   /** A request with the moment from which it waits. */
-  record Waiting(Ask ask, long sinceMs, long order) {
+  record Waiting(PlacementRequest ask, long sinceMs, long order) {
     double onTimeMs(long nowMs) {
-      return ask.onTimeMs() - (nowMs - sinceMs);
+      return ask.objectiveRemainingMs() - (nowMs - sinceMs);
     }
 
     double leftMs(long nowMs) {
-      return ask.leftMs() - (nowMs - sinceMs);
+      return ask.deadlineRemainingMs() - (nowMs - sinceMs);
     }
 
     long waitedMs(long nowMs) {
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/Plan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/ChangePlan.java
@@ -18,7 +18,7 @@
  * <p>The rows of a commit carry the version each must still have. So once a row has another
  * version, an earlier commit of the same rows, whose answer was lost, can no longer take effect.
  */
-public interface Plan {
+public interface ChangePlan {
 
   /**
    * Returns the operation's id.
@@ -33,7 +33,7 @@
    * @param table the table as just read
    * @return rows that carry the version each must still have; or an outcome that ends the change
    */
-  Step against(Table table);
+  Step nextStep(Table table);
 
   /**
    * Finds out whether the operation is committed.
@@ -41,7 +41,7 @@
    * @param table the table as just read
    * @return the version that contains it, if a row still remembers it
    */
-  OptionalLong appliedIn(Table table);
+  OptionalLong appliedVersion(Table table);
 
   /** What to do after a read of the table. */
   sealed interface Step {
@@ -83,7 +83,7 @@
        * @param now the table as just read
        * @return what the rows tell
        */
-      public CommitFate fate(Table now) {
+      public CommitStatus statusIn(Table now) {
         Objects.requireNonNull(now, "now is null");
         return Stream.concat(
                 routes.stream()
@@ -97,32 +97,32 @@
                                             r.operations(),
                                             n.version(),
                                             n.operations()))
-                                .orElse(CommitFate.UNTRACEABLE)),
+                                .orElse(CommitStatus.UNKNOWN)),
                 dataCentres.stream()
                     .map(
                         d -> {
                           DataCentreRow n = now.dataCentres().get(d.dataCentre());
                           return n == null
-                              ? CommitFate.UNTRACEABLE
+                              ? CommitStatus.UNKNOWN
                               : rowFate(d.version(), d.operations(), n.version(), n.operations());
                         }))
-            .reduce(CommitFate::and)
-            .orElse(CommitFate.UNTRACEABLE);
+            .reduce(CommitStatus::combine)
+            .orElse(CommitStatus.UNKNOWN);
       }
 
-      private static CommitFate rowFate(
+      private static CommitStatus rowFate(
           long expected, List<String> written, long version, List<String> operations) {
         if (version == expected) {
-          return CommitFate.OPEN;
+          return CommitStatus.PENDING;
         }
         if (operations.contains(written.get(0))) {
-          return CommitFate.APPLIED;
+          return CommitStatus.APPLIED;
         }
         boolean remembersAll =
             written.size() == 1
                 ? operations.size() < Route.OPERATIONS_KEPT
                 : operations.contains(written.get(1));
-        return remembersAll ? CommitFate.RULED_OUT : CommitFate.UNTRACEABLE;
+        return remembersAll ? CommitStatus.NOT_APPLIED : CommitStatus.UNKNOWN;
       }
     }
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/CommitFate.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/CommitStatus.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /** What a read tells of a commit whose answer was lost. Immutable and thread-safe. */
-public enum CommitFate {
+public enum CommitStatus {
   /** It took effect. */
   APPLIED,
   /** It did not take effect, and cannot any more. */
-  RULED_OUT,
+  NOT_APPLIED,
   /** It has not taken effect, but still can. */
-  OPEN,
+  PENDING,
   /** The rows no longer tell. */
-  UNTRACEABLE;
+  UNKNOWN;
 
   /**
    * Combines what two rows of one commit tell. A row that has not moved shows that the commit has
@@ -20,7 +20,7 @@
    * @param o what the other row tells
    * @return what both tell together
    */
-  public CommitFate and(CommitFate o) {
+  public CommitStatus combine(CommitStatus o) {
     Objects.requireNonNull(o, "o is null");
     if (this == o) {
       return this;
@@ -29,6 +29,6 @@
       return APPLIED;
     }
     // The two differ and neither is APPLIED: an unmoved row with a moved one, or proof with none.
-    return RULED_OUT;
+    return NOT_APPLIED;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
@@ -18,11 +18,12 @@
  *
  * @param operation the operation's id
  * @param dataCentre the data centre
- * @param out whether it is to be out
+ * @param evacuated whether it is to be out
  * @param force whether it may be the last one of a service
  */
-public record DataCentrePlan(String operation, DataCentre dataCentre, boolean out, boolean force)
-    implements Plan {
+public record DataCentrePlan(
+    String operation, DataCentre dataCentre, boolean evacuated, boolean force)
+    implements ChangePlan {
 
   /** Checks the components. */
   public DataCentrePlan {
@@ -31,7 +32,7 @@
   }
 
   @Override
-  public Step against(Table table) {
+  public Step nextStep(Table table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     if (row == null) {
       return refused(
@@ -40,14 +41,14 @@
               "there is no data centre " + dataCentre,
               "take a name that 'cactusctl status' lists"));
     }
-    OptionalLong applied = appliedIn(table);
+    OptionalLong applied = appliedVersion(table);
     if (applied.isPresent()) {
       return new Step.Done(new EditOutcome.Accepted(applied.getAsLong()));
     }
-    if (row.out() == out) {
+    if (row.out() == evacuated) {
       return new Step.Done(new EditOutcome.Accepted(table.version()));
     }
-    Optional<Route> stranded = out && !force ? lastRoute(table) : Optional.empty();
+    Optional<Route> stranded = evacuated && !force ? lastRoute(table) : Optional.empty();
     if (stranded.isPresent()) {
       return refused(
           Problem.invalid(
@@ -59,7 +60,7 @@
     ids.addAll(
         row.operations().subList(0, Math.min(row.operations().size(), Route.OPERATIONS_KEPT - 1)));
     return new Step.Commit(
-        List.of(), List.of(new DataCentreRow(dataCentre, out, row.version(), ids)));
+        List.of(), List.of(new DataCentreRow(dataCentre, evacuated, row.version(), ids)));
   }
 
   private static Step refused(Problem p) {
@@ -81,7 +82,7 @@
   }
 
   @Override
-  public OptionalLong appliedIn(Table table) {
+  public OptionalLong appliedVersion(Table table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     return row != null && row.operations().contains(operation)
         ? OptionalLong.of(row.version())
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
@@ -28,7 +28,7 @@
  * @param ifTableVersion the version the table must still have, if the operator named one
  */
 public record EditPlan(String operation, List<Edit> edits, OptionalLong ifTableVersion)
-    implements Plan {
+    implements ChangePlan {
 
   /** Copies the edits. */
   public EditPlan {
@@ -38,10 +38,10 @@
   }
 
   @Override
-  public Step against(Table table) {
+  public Step nextStep(Table table) {
     Objects.requireNonNull(table, "table is null");
-    if (appliedIn(table).isPresent()) {
-      return new Step.Done(new EditOutcome.Accepted(appliedIn(table).getAsLong()));
+    if (appliedVersion(table).isPresent()) {
+      return new Step.Done(new EditOutcome.Accepted(appliedVersion(table).getAsLong()));
     }
     Optional<Problem> invalid = firstProblem(table);
     if (invalid.isPresent()) {
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public OptionalLong appliedIn(Table table) {
+  public OptionalLong appliedVersion(Table table) {
     return edits.stream()
         .flatMap(e -> table.route(e.key()).stream())
         .filter(r -> r.operations().contains(operation))
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/AttemptEvent.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/AttemptEvent.java
@@ -9,7 +9,7 @@
   /** The upstream answered that it did not run the request. */
   REFUSED,
   /** Another answer has begun to arrive. */
-  ANSWER_STARTED,
+  RESPONSE_STARTED,
   /** The connection failed. */
   CONNECTION_LOST,
   /** The answer did not begin in time. */
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/AttemptState.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/AttemptState.java
@@ -22,7 +22,7 @@
     public AttemptState after(AttemptEvent e) {
       return switch (e) {
         case REFUSED -> REFUSED;
-        case ANSWER_STARTED -> ANSWERED;
+        case RESPONSE_STARTED -> RESPONDED;
         default -> this;
       };
     }
@@ -35,7 +35,7 @@
     }
   },
   /** The upstream's answer has begun to arrive. */
-  ANSWERED {
+  RESPONDED {
     @Override
     public AttemptState after(AttemptEvent e) {
       return this;
@@ -65,15 +65,17 @@
    * @param r what is known of the request
    * @return the step to take
    */
-  public NextStep next(RequestTraits r) {
+  public RetryDecision decideAfterFailure(RetryConditions r) {
     Objects.requireNonNull(r, "r is null");
-    if (this == ANSWERED) {
-      return NextStep.ABORT_ANSWER;
+    if (this == RESPONDED) {
+      return RetryDecision.ABORT_RESPONSE;
     }
     boolean mayRepeat = provesNotRun() || r.idempotent();
-    if (mayRepeat && r.bodyReplayable() && r.attemptsLeft()) {
-      return NextStep.RETRY;
+    if (mayRepeat && r.bodyReplayable() && r.retryAllowed()) {
+      return RetryDecision.RETRY;
     }
-    return provesNotRun() && r.neverPossiblyRun() ? NextStep.TELL_NOT_RUN : NextStep.TELL_UNKNOWN;
+    return provesNotRun() && r.earlierAttemptsNotRun()
+        ? RetryDecision.REPORT_NOT_RUN
+        : RetryDecision.REPORT_UNKNOWN;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/Patience.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/CallerElapsedTime.java
@@ -9,7 +9,7 @@
  * <p>Callers of a route start with the same deadline, so one that comes with less has tried before.
  * Its latency objective counts from its first attempt. Confined to one thread.
  */
-public final class Patience {
+public final class CallerElapsedTime {
   private final Map<String, Long> longest = new HashMap<>();
 
   /**
@@ -19,7 +19,7 @@
    * @param deadlineMs how long the caller still waits, in milliseconds
    * @return milliseconds since the caller's first attempt, 0 if this seems to be the first
    */
-  public long spentMs(String route, long deadlineMs) {
+  public long elapsedMs(String route, long deadlineMs) {
     long full = longest.merge(route, deadlineMs, Math::max);
     return full - deadlineMs;
   }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/HedgeDelay.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/HedgeDelay.java
@@ -22,7 +22,7 @@
    * @param objectiveLeftMs time left until the objective is missed, in milliseconds
    * @return milliseconds from the first attempt to the second
    */
-  public static long ms(double usualMs, long objectiveLeftMs) {
+  public static long delayMs(double usualMs, long objectiveLeftMs) {
     double last = objectiveLeftMs - usualMs * SECOND_ANSWER;
     double bounded = Math.max(usualMs * EARLIEST, Math.min(usualMs * LATEST, last));
     return Math.max(1, Math.round(bounded));
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RestBound.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/IdleReuseLimit.java
@@ -11,7 +11,7 @@
  * connections that hardly rested, shorten the bound for a while. An overloaded upstream resets both
  * alike, and leaves the bound as it is. Confined to one thread.
  */
-public final class RestBound {
+public final class IdleReuseLimit {
   private static final long USUAL_MS = 5_000;
   private static final long SHORT_MS = 200;
   private static final long EVIDENCE_MS = 2_000;
@@ -28,7 +28,7 @@
    * @param restedMs how long the connection had rested, 0 if it was new, in milliseconds
    * @param nowMs the present time on a steady clock, in milliseconds
    */
-  public void reset(long restedMs, long nowMs) {
+  public void recordReset(long restedMs, long nowMs) {
     forget(nowMs);
     (restedMs >= SHORT_MS ? afterRest : withoutRest).addLast(nowMs);
     if (afterRest.size() >= ENOUGH && afterRest.size() > withoutRest.size()) {
@@ -43,7 +43,7 @@
    * @param nowMs the present time on the same clock
    * @return the longest rest, in milliseconds
    */
-  public long mostMs(boolean repeatable, long nowMs) {
+  public long maxIdleMs(boolean repeatable, long nowMs) {
     if (nowMs < shortUntilMs) {
       return SHORT_MS;
     }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryBudget.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryBudget.java
@@ -39,7 +39,7 @@
    *
    * @return true when the retry is allowed
    */
-  public boolean withdraw() {
+  public boolean tryWithdraw() {
     return balance.getAndUpdate(b -> b >= UNIT ? b - UNIT : b) >= UNIT;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RequestTraits.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryConditions.java
@@ -5,9 +5,12 @@
  *
  * @param idempotent whether running the request twice has the effect of running it once
  * @param bodyReplayable whether the whole body can still be sent
- * @param attemptsLeft whether the number of attempts, the retry budget and the deadline allow
+ * @param retryAllowed whether the number of attempts, the retry budget and the deadline allow
  *     another
- * @param neverPossiblyRun whether every earlier attempt proved that the request did not run
+ * @param earlierAttemptsNotRun whether every earlier attempt proved that the request did not run
  */
-public record RequestTraits(
-    boolean idempotent, boolean bodyReplayable, boolean attemptsLeft, boolean neverPossiblyRun) {}
+public record RetryConditions(
+    boolean idempotent,
+    boolean bodyReplayable,
+    boolean retryAllowed,
+    boolean earlierAttemptsNotRun) {}
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RepeatWindow.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryWindow.java
@@ -7,7 +7,7 @@
  * this host's part of a fixed allowance; so the sum over all hosts keeps the bound of all hosts
  * without any message. Confined to one thread.
  */
-public final class RepeatWindow {
+public final class RetryWindow {
   private static final int BUCKETS = 20;
 
   private final long[] requests = new long[BUCKETS];
@@ -22,7 +22,7 @@
    * @param windowMs the window's length, in milliseconds
    * @param ratio repeats allowed for each request
    */
-  public RepeatWindow(long windowMs, double ratio) {
+  public RetryWindow(long windowMs, double ratio) {
     this.bucketMs = Math.max(1, windowMs / BUCKETS);
     this.ratio = ratio;
   }
@@ -32,7 +32,7 @@
    *
    * @param nowMs the present time on a steady clock, in milliseconds
    */
-  public void request(long nowMs) {
+  public void recordRequest(long nowMs) {
     requests[bucket(nowMs)]++;
   }
 
@@ -43,7 +43,7 @@
    * @param nowMs the present time on the same clock
    * @return false when no repeat is allowed; nothing is counted then
    */
-  public boolean repeat(double allowance, long nowMs) {
+  public boolean tryAcquireRetry(double allowance, long nowMs) {
     int b = bucket(nowMs);
     if (sum(repeats) + 1 > ratio * sum(requests) + allowance) {
       return false;
--- a/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamHealth.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamHealth.java
@@ -9,22 +9,22 @@
  * and thread-safe.
  *
  * @param state the inferred state
- * @param allowance most requests in flight that the evidence supports; operators' limits apply
+ * @param inFlightLimit most requests in flight that the evidence supports; operators' limits apply
  *     besides
  * @param successes successes since the allowance last changed
- * @param failures failures without a success between them
+ * @param consecutiveFailures failures without a success between them
  * @param latencyMs smoothed time of an answer, in milliseconds
- * @param failureShare smoothed share of failed answers, from 0 to 1
- * @param retryAtMs when an unreachable upstream may get its next trial, on the caller's clock
+ * @param failureRate smoothed share of failed answers, from 0 to 1
+ * @param nextTrialAtMs when an unreachable upstream may get its next trial, on the caller's clock
  */
 public record UpstreamHealth(
     UpstreamState state,
-    int allowance,
+    int inFlightLimit,
     int successes,
-    int failures,
+    int consecutiveFailures,
     double latencyMs,
-    double failureShare,
-    long retryAtMs) {
+    double failureRate,
+    long nextTrialAtMs) {
 
   /** What a newly listed upstream starts from: cold until it proves otherwise. */
   public static final UpstreamHealth INITIAL =
@@ -54,37 +54,37 @@
    * @param nowMs the time of the observation, in milliseconds on any steady clock
    * @return the changed belief
    */
-  public UpstreamHealth observe(Evidence e, long nowMs) {
+  public UpstreamHealth observe(Observation e, long nowMs) {
     Objects.requireNonNull(e, "e is null");
-    if (e instanceof Evidence.Success s) {
+    if (e instanceof Observation.Success s) {
       return success(s);
     }
-    if (e instanceof Evidence.ServerError s) {
+    if (e instanceof Observation.ServerError s) {
       return smoothed(s.latencyMs(), 1);
     }
-    if (e instanceof Evidence.Refusal || e instanceof Evidence.SaysCold) {
+    if (e instanceof Observation.Refusal || e instanceof Observation.ReportedCold) {
       return collapsed();
     }
-    if (e instanceof Evidence.SaysLeaving) {
+    if (e instanceof Observation.ReportedLeaving) {
       return with(UpstreamState.LEAVING, 1);
     }
-    if (e instanceof Evidence.KnowledgeExpired) {
+    if (e instanceof Observation.StateExpired) {
       return state == UpstreamState.LEAVING ? this : INITIAL;
     }
-    if (e instanceof Evidence.ListedLive) {
+    if (e instanceof Observation.ListedActive) {
       return state == UpstreamState.LEAVING ? INITIAL : this;
     }
     return failed(nowMs);
   }
 
-  private UpstreamHealth success(Evidence.Success s) {
+  private UpstreamHealth success(Observation.Success s) {
     UpstreamHealth h = smoothed(s.latencyMs(), 0);
     return switch (state) {
       case LEAVING -> h;
       case UNREACHABLE ->
-          new UpstreamHealth(UpstreamState.COLD, 1, 0, 0, h.latencyMs, h.failureShare, 0);
-      case WARM -> new UpstreamHealth(state, allowance, 0, 0, h.latencyMs, h.failureShare, 0);
-      case COLD -> h.grown(s.saysWarm());
+          new UpstreamHealth(UpstreamState.COLD, 1, 0, 0, h.latencyMs, h.failureRate, 0);
+      case WARM -> new UpstreamHealth(state, inFlightLimit, 0, 0, h.latencyMs, h.failureRate, 0);
+      case COLD -> h.grown(s.reportedWarm());
     };
   }
 
@@ -92,9 +92,9 @@
     int enough = saysWarm ? 1 : SUCCESSES_PER_STEP;
     if (successes + 1 < enough) {
       return new UpstreamHealth(
-          state, allowance, successes + 1, 0, latencyMs, failureShare, retryAtMs);
+          state, inFlightLimit, successes + 1, 0, latencyMs, failureRate, nextTrialAtMs);
     }
-    int next = allowance + 1;
+    int next = inFlightLimit + 1;
     boolean warm = next >= WARM_ALLOWANCE;
     return new UpstreamHealth(
         warm ? UpstreamState.WARM : UpstreamState.COLD,
@@ -102,8 +102,8 @@
         0,
         0,
         latencyMs,
-        failureShare,
-        retryAtMs);
+        failureRate,
+        nextTrialAtMs);
   }
 
   private UpstreamHealth smoothed(double ms, double failure) {
@@ -115,12 +115,12 @@
     }
     return new UpstreamHealth(
         state,
-        allowance,
+        inFlightLimit,
         successes,
-        failures,
+        consecutiveFailures,
         latencyMs + weight * (ms - latencyMs),
-        failureShare + SMOOTHING * (failure - failureShare),
-        retryAtMs);
+        failureRate + SMOOTHING * (failure - failureRate),
+        nextTrialAtMs);
   }
 
   private UpstreamHealth collapsed() {
@@ -128,11 +128,11 @@
   }
 
   private UpstreamHealth failed(long nowMs) {
-    int n = failures + 1;
-    double share = failureShare + SMOOTHING * (1 - failureShare);
+    int n = consecutiveFailures + 1;
+    double share = failureRate + SMOOTHING * (1 - failureRate);
     if (n < FAILURES_TO_UNREACHABLE && state != UpstreamState.UNREACHABLE) {
       UpstreamState s = state == UpstreamState.LEAVING ? state : UpstreamState.COLD;
-      return new UpstreamHealth(s, 1, 0, n, latencyMs, share, retryAtMs);
+      return new UpstreamHealth(s, 1, 0, n, latencyMs, share, nextTrialAtMs);
     }
     int doublings = Math.min(MAX_PAUSE_DOUBLINGS, n - FAILURES_TO_UNREACHABLE);
     long pause = FIRST_PAUSE_MS << Math.max(0, doublings);
@@ -141,7 +141,7 @@
   }
 
   private UpstreamHealth with(UpstreamState s, int allowed) {
-    return new UpstreamHealth(s, allowed, 0, 0, latencyMs, failureShare, retryAtMs);
+    return new UpstreamHealth(s, allowed, 0, 0, latencyMs, failureRate, nextTrialAtMs);
   }
 
   /**
@@ -151,11 +151,11 @@
    * @param nowMs the present time on the clock of {@link #observe}
    * @return the limit, 0 when nothing may be sent
    */
-  public int limit(int operatorLimit, long nowMs) {
+  public int effectiveLimit(int operatorLimit, long nowMs) {
     return switch (state) {
-      case WARM, COLD -> Math.min(operatorLimit, allowance);
+      case WARM, COLD -> Math.min(operatorLimit, inFlightLimit);
       case LEAVING -> 0;
-      case UNREACHABLE -> nowMs >= retryAtMs ? Math.min(operatorLimit, 1) : 0;
+      case UNREACHABLE -> nowMs >= nextTrialAtMs ? Math.min(operatorLimit, 1) : 0;
     };
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/membership/Group.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/membership/Group.java
@@ -27,7 +27,7 @@
   private long sequence;
   private long bytesLike;
 
-  private record InFlight(long atMs, long sequence, int from, int to, Outgoing message) {}
+  private record InFlight(long atMs, long sequence, int from, int to, OutgoingMessage message) {}
 
   Group(int size, double loss, long delayMs, long seed) {
     this.random = new Random(seed);
@@ -39,7 +39,7 @@
     }
     for (int i = 0; i < size; i++) {
       var m = new Membership(member(i, 1), ProbeTimings.DEFAULT, new Random(random.nextLong()));
-      m.list(links);
+      m.updateHostList(links);
       hosts.add(m);
     }
   }
@@ -78,7 +78,7 @@
     for (int k = 0; k < hosts.size(); k++) {
       links.add(link(k));
     }
-    m.list(links);
+    m.updateHostList(links);
     hosts.set(i, m);
   }
 
@@ -106,14 +106,14 @@
     if (paused.contains(m.to)) {
       return;
     }
-    Outgoing o = m.message;
+    OutgoingMessage o = m.message;
     send(m.to, hosts.get(m.to).receive(link(m.from), o.probe(), o.sender(), o.updates(), m.atMs));
   }
 
-  private void send(int from, List<Outgoing> messages) {
-    for (Outgoing o : messages) {
+  private void send(int from, List<OutgoingMessage> messages) {
+    for (OutgoingMessage o : messages) {
       bytesLike++;
-      int to = Integer.parseInt(o.to().ip().substring("10.0.0.".length())) - 1;
+      int to = Integer.parseInt(o.receiver().ip().substring("10.0.0.".length())) - 1;
       if (random.nextDouble() >= loss) {
         long delay = 1 + (long) (random.nextDouble() * delayMs);
         network.add(new InFlight(nowMs + delay, sequence++, from, to, o));
--- a/decisions/src/test/java/dev/cactusstack/decisions/membership/MembershipTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/membership/MembershipTest.java
@@ -90,7 +90,7 @@
   void shouldTellEveryHostWhenOneAnnouncesAVersion() {
     var g = new Group(SIZE, 0, 5, 4);
     g.run(4_000);
-    g.host(0).announce(g.host(0).self().info().withConfigVersion(9));
+    g.host(0).updateSelf(g.host(0).self().info().withConfigVersion(9));
     g.run(4_000);
     assertThat(IntStream.range(0, SIZE).mapToLong(i -> version(g, i))).allMatch(v -> v == 9);
   }
@@ -112,7 +112,7 @@
   }
 
   private static List<Member> updatesAfter(Membership m, Member claim) {
-    return m.receive(claim.info().link(), new Probe.Ping(1), claim, List.of(), 20_000)
+    return m.receive(claim.info().link(), new ProbeMessage.Ping(1), claim, List.of(), 20_000)
         .get(0)
         .updates();
   }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
@@ -89,7 +89,7 @@
 
   private record Arrival(long atMs, double workMs) {}
 
-  private record Job(Arrival arrival, AskKey key, int upstream, double leftMs) {}
+  private record Job(Arrival arrival, PlacementKey key, int upstream, double leftMs) {}
 
   /** What callers saw. */
   record Outcome(int asked, int onTime, int late, int turnedAway, int mostColdASecond) {
@@ -151,7 +151,7 @@
         Arrival a = line.remove(0);
         count[u]++;
         tally.sent(u, now);
-        running.add(new Job(a, new AskKey(0, 0), u, a.workMs));
+        running.add(new Job(a, new PlacementKey(0, 0), u, a.workMs));
       }
     }
     return tally.outcome();
@@ -175,7 +175,7 @@
     var scheduler = new Scheduler(SETTINGS);
     var rule = new ServiceRule("s", "/h", 100, 3_000, 14);
     List<Job> running = new ArrayList<>();
-    Map<AskKey, Arrival> asked = new HashMap<>();
+    Map<PlacementKey, Arrival> asked = new HashMap<>();
     Set<Arrival> done = Collections.newSetFromMap(new IdentityHashMap<>());
     Set<Arrival> again = Collections.newSetFromMap(new IdentityHashMap<>());
     var probing = new PriorityQueue<long[]>((a, b) -> Long.compare(a[0], b[0]));
@@ -184,9 +184,9 @@
     long seconds = 0;
     for (long now = 0; now < lengthMs + LEFT_MS; now += STEP_MS) {
       if (now % 500 == 0) {
-        scheduler.upstreams(rule, entries(now), now);
+        scheduler.updateUpstreams(rule, entries(now), now);
       }
-      List<Verdict> verdicts = new ArrayList<>();
+      List<PlacementDecision> verdicts = new ArrayList<>();
       for (Job j : advance(running, now)) {
         if (done.add(j.arrival)) {
           tally.ended(j.arrival, now);
@@ -197,32 +197,33 @@
       while (!probing.isEmpty() && probing.peek()[0] <= now) {
         int u = (int) probing.remove()[1];
         if (pattern.pace(u, now) > 0) {
-          verdicts.addAll(scheduler.probed("u" + u, load(u, now), now));
+          verdicts.addAll(scheduler.recordProbeResponse("u" + u, load(u, now), now));
         }
       }
       if (probes && now % PROBE_MS == 0) {
-        for (UpstreamEntry u : scheduler.probes(now)) {
+        for (UpstreamEntry u : scheduler.selectProbeTargets(now)) {
           probing.add(new long[] {now + WAY_MS, Integer.parseInt(u.id().substring(1))});
         }
       }
       for (; next < arrivals.size() && arrivals.get(next).atMs <= now; next++) {
-        var key = new AskKey(1 + next % HOSTS, next);
+        var key = new PlacementKey(1 + next % HOSTS, next);
         asked.put(key, arrivals.get(next));
         verdicts.addAll(
-            scheduler.ask(
-                new Ask(key, "dc", "r", 1, OBJECTIVE_MS, OBJECTIVE_MS, LEFT_MS, 0, false, Set.of()),
+            scheduler.submit(
+                new PlacementRequest(
+                    key, "dc", "r", 1, OBJECTIVE_MS, OBJECTIVE_MS, LEFT_MS, 0, false, Set.of()),
                 now));
       }
       for (Job j : second == Second.NONE ? List.<Job>of() : List.copyOf(running)) {
         if (now - j.arrival.atMs >= SECOND_AFTER_MS && again.add(j.arrival)) {
-          var key = new AskKey(0, ++seconds);
+          var key = new PlacementKey(0, ++seconds);
           asked.put(key, j.arrival);
           long passed = now - j.arrival.atMs;
           boolean spare = second == Second.SPARE;
           Set<String> tried = Set.of("u" + j.upstream);
           verdicts.addAll(
-              scheduler.ask(
-                  new Ask(
+              scheduler.submit(
+                  new PlacementRequest(
                       key,
                       "dc",
                       "r",
@@ -239,13 +240,13 @@
       if (now % 20 == 0) {
         verdicts.addAll(scheduler.tick(now));
       }
-      for (Verdict v : verdicts) {
-        if (v instanceof Verdict.Placed p) {
+      for (PlacementDecision v : verdicts) {
+        if (v instanceof PlacementDecision.Placed p) {
           int u = Integer.parseInt(p.upstream().id().substring(1));
           Arrival a = asked.get(v.key());
           tally.sent(u, now);
           running.add(new Job(a, v.key(), u, a.workMs));
-        } else if (v instanceof Verdict.TurnedAway && v.key().host() != 0) {
+        } else if (v instanceof PlacementDecision.Rejected && v.key().hostHash() != 0) {
           tally.turnedAway++;
         }
       }
@@ -266,13 +267,14 @@
     return out;
   }
 
-  private LoadFigures load(int u, long now) {
-    return new LoadFigures(0, 0, slots, (int) Math.round(pattern.pace(u, now) * 100));
+  private ReportedLoad load(int u, long now) {
+    return new ReportedLoad(0, 0, slots, (int) Math.round(pattern.pace(u, now) * 100));
   }
 
-  private Report report(Job j, long took, long now) {
-    AttemptEnd end = took >= LEFT_MS ? AttemptEnd.TIMED_OUT : AttemptEnd.ANSWERED;
-    return new Report(j.key, "u" + j.upstream, end, took, Optional.of(load(j.upstream, now)));
+  private AttemptReport report(Job j, long took, long now) {
+    AttemptOutcome end = took >= LEFT_MS ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED;
+    return new AttemptReport(
+        j.key, "u" + j.upstream, end, took, Optional.of(load(j.upstream, now)));
   }
 
   /** Lets a step of work pass; returns what has ended, by its work or by its caller's patience. */
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
@@ -25,88 +25,99 @@
         id, "s", new Address("127.0.0.1", 80), "dc", slots, false, coldForMs, 1);
   }
 
-  private Ask ask(long onTimeMs, String... tried) {
+  private PlacementRequest ask(long onTimeMs, String... tried) {
     return ask(onTimeMs, 1_000, tried);
   }
 
-  private Ask ask(long onTimeMs, long leftMs, String... tried) {
-    return new Ask(
-        new AskKey(1, ++number), "dc", "r", 1, 300, onTimeMs, leftMs, 0, false, Set.of(tried));
+  private PlacementRequest ask(long onTimeMs, long leftMs, String... tried) {
+    return new PlacementRequest(
+        new PlacementKey(1, ++number),
+        "dc",
+        "r",
+        1,
+        300,
+        onTimeMs,
+        leftMs,
+        0,
+        false,
+        Set.of(tried));
   }
 
-  private Verdict one(Ask ask, long nowMs) {
-    return scheduler.ask(ask, nowMs).get(0);
+  private PlacementDecision one(PlacementRequest ask, long nowMs) {
+    return scheduler.submit(ask, nowMs).get(0);
   }
 
-  private static Report end(Verdict v, AttemptEnd end, int pacePercent) {
-    String id = ((Verdict.Placed) v).upstream().id();
-    var load = new LoadFigures(0, 0, 2, pacePercent);
-    return new Report(v.key(), id, end, 90, Optional.of(load));
+  private static AttemptReport end(PlacementDecision v, AttemptOutcome end, int pacePercent) {
+    String id = ((PlacementDecision.Placed) v).upstream().id();
+    var load = new ReportedLoad(0, 0, 2, pacePercent);
+    return new AttemptReport(v.key(), id, end, 90, Optional.of(load));
   }
 
-  private static String placed(Verdict v) {
-    return v instanceof Verdict.Placed p ? p.upstream().id() : v.getClass().getSimpleName();
+  private static String placed(PlacementDecision v) {
+    return v instanceof PlacementDecision.Placed p
+        ? p.upstream().id()
+        : v.getClass().getSimpleName();
   }
 
   @Test
   void shouldNeverHoldMoreThanTheSlotsWhenAsksKeepComing() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < 6; i++) {
       counts.merge(placed(one(ask(300), 0)), 1, Integer::sum);
     }
-    assertThat(counts).containsEntry("a", 2).containsEntry("b", 2).containsEntry("Waits", 2);
+    assertThat(counts).containsEntry("a", 2).containsEntry("b", 2).containsEntry("Queued", 2);
   }
 
   @Test
   void shouldGiveAFreedSlotToTheOneWhoWaitsWhenAnAttemptEnds() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    Verdict first = one(ask(300), 0);
-    Ask waiting = ask(300);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    PlacementDecision first = one(ask(300), 0);
+    PlacementRequest waiting = ask(300);
     one(waiting, 0);
-    List<Verdict> next = scheduler.report(end(first, AttemptEnd.ANSWERED, 100), 50);
+    List<PlacementDecision> next = scheduler.report(end(first, AttemptOutcome.ANSWERED, 100), 50);
     assertThat(next).hasSize(1);
     assertThat(next.get(0).key()).isEqualTo(waiting.key());
   }
 
   @Test
   void shouldCountAnEndOnceWhenItIsToldTwice() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    Report ended = end(one(ask(0), 0), AttemptEnd.ANSWERED, 100);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    AttemptReport ended = end(one(ask(0), 0), AttemptOutcome.ANSWERED, 100);
     scheduler.report(ended, 10);
-    Verdict second = one(ask(0), 20);
+    PlacementDecision second = one(ask(0), 20);
     scheduler.report(ended, 30);
     assertThat(placed(second)).isEqualTo("a");
-    assertThat(one(ask(0), 40)).isNotInstanceOf(Verdict.Placed.class);
+    assertThat(one(ask(0), 40)).isNotInstanceOf(PlacementDecision.Placed.class);
   }
 
   @Test
   void shouldFreeTheSlotWhenThePlacedRequestIsWithdrawn() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    Ask lost = ask(0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    PlacementRequest lost = ask(0);
     one(lost, 0);
-    scheduler.withdraw(lost.key());
+    scheduler.cancel(lost.key());
     assertThat(placed(one(ask(0), 1))).isEqualTo("a");
   }
 
   @Test
   void shouldTurnAwayAtOnceWhenARequestThatIsLateWouldWaitTooLong() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
     one(ask(300), 0);
-    assertThat(one(ask(0, 50), 0)).isInstanceOf(Verdict.TurnedAway.class);
+    assertThat(one(ask(0, 50), 0)).isInstanceOf(PlacementDecision.Rejected.class);
   }
 
   @Test
   void shouldTurnAwayTheOldestWhenMoreWaitThanCanBeOnTime() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
     one(ask(300), 0);
-    List<Ask> waiting = new ArrayList<>();
-    List<AskKey> turnedAway = new ArrayList<>();
+    List<PlacementRequest> waiting = new ArrayList<>();
+    List<PlacementKey> turnedAway = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      Ask a = ask(300);
+      PlacementRequest a = ask(300);
       waiting.add(a);
-      scheduler.ask(a, i).stream()
-          .filter(Verdict.TurnedAway.class::isInstance)
+      scheduler.submit(a, i).stream()
+          .filter(PlacementDecision.Rejected.class::isInstance)
           .forEach(v -> turnedAway.add(v.key()));
     }
     assertThat(turnedAway).isNotEmpty().first().isEqualTo(waiting.get(0).key());
@@ -115,57 +126,57 @@
 
   @Test
   void shouldTellEachCallerAnotherTimeWhenSeveralAreTurnedAway() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
     one(ask(300), 0);
     List<Long> times = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      times.add(((Verdict.TurnedAway) one(ask(0, 50), 0)).retryAfterMs());
+      times.add(((PlacementDecision.Rejected) one(ask(0, 50), 0)).retryAfterMs());
     }
     assertThat(times).doesNotHaveDuplicates().isSorted();
   }
 
   @Test
   void shouldTurnAwayWhenARequestCanNoLongerBeOnTimeAndOthersCan() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
     one(ask(300), 0);
-    Ask old = ask(150);
+    PlacementRequest old = ask(150);
     one(old, 0);
     one(ask(300), 90);
-    assertThat(scheduler.tick(95)).extracting(Verdict::key).containsExactly(old.key());
+    assertThat(scheduler.tick(95)).extracting(PlacementDecision::key).containsExactly(old.key());
   }
 
   @Test
   void shouldWaitForAGoodSlotWhenTheFreeOneWouldMakeTheRequestLate() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
-    Verdict first = one(ask(300), 0);
-    Verdict second = one(ask(300), 0);
-    scheduler.report(end(first, AttemptEnd.ANSWERED, 700), 90);
-    Ask next = ask(300);
-    assertThat(one(next, 95)).isInstanceOf(Verdict.Waits.class);
-    assertThat(scheduler.report(end(second, AttemptEnd.ANSWERED, 100), 100))
-        .extracting(Verdict::key)
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
+    PlacementDecision first = one(ask(300), 0);
+    PlacementDecision second = one(ask(300), 0);
+    scheduler.report(end(first, AttemptOutcome.ANSWERED, 700), 90);
+    PlacementRequest next = ask(300);
+    assertThat(one(next, 95)).isInstanceOf(PlacementDecision.Queued.class);
+    assertThat(scheduler.report(end(second, AttemptOutcome.ANSWERED, 100), 100))
+        .extracting(PlacementDecision::key)
         .containsExactly(next.key());
   }
 
   @Test
   void shouldUseASlowSlotWhenTheRequestIsLateAnyway() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    scheduler.report(end(one(ask(300), 0), AttemptEnd.ANSWERED, 700), 90);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.report(end(one(ask(300), 0), AttemptOutcome.ANSWERED, 700), 90);
     assertThat(placed(one(ask(0, 2_000), 95))).isEqualTo("a");
   }
 
   @Test
   void shouldAvoidAnUpstreamWhenItHasJustSaidThatItIsSlow() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
-    Verdict first = one(ask(0), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
+    PlacementDecision first = one(ask(0), 0);
     String slow = placed(first);
-    scheduler.report(end(first, AttemptEnd.ANSWERED, 700), 100);
+    scheduler.report(end(first, AttemptOutcome.ANSWERED, 700), 100);
     assertThat(placed(one(ask(0), 110))).isNotEqualTo(slow);
   }
 
   @Test
   void shouldAvoidAnUpstreamWhenARequestOnItIsOverdue() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
     String hanging = placed(one(ask(0), 0));
     for (int i = 0; i < 3; i++) {
       assertThat(placed(one(ask(0), 1_000 + i))).isNotEqualTo(hanging);
@@ -174,10 +185,10 @@
 
   @Test
   void shouldRestAnUpstreamAndTryItAgainWhenItKeepsFailing() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
     for (int i = 0; i < 2; i++) {
-      Ask a = ask(0, "b");
-      scheduler.report(end(one(a, i), AttemptEnd.BROKEN, 100), i);
+      PlacementRequest a = ask(0, "b");
+      scheduler.report(end(one(a, i), AttemptOutcome.BROKEN, 100), i);
     }
     List<String> soon = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -189,25 +200,25 @@
 
   @Test
   void shouldUseRestingUpstreamsWhenThereAreNoOthers() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 4, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0)), 0);
     for (int i = 0; i < 5; i++) {
-      scheduler.report(end(one(ask(0), i), AttemptEnd.REFUSED, 100), i);
+      scheduler.report(end(one(ask(0), i), AttemptOutcome.REFUSED, 100), i);
     }
     assertThat(placed(one(ask(0), 6))).isEqualTo("a");
   }
 
   @Test
   void shouldKeepItsPartOfTheColdBoundWhenAllUpstreamsAreCold() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 100, 3_000)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 100, 3_000)), 0);
     int sent = 0;
     for (long now = 0; now < 1_000; now += 10) {
-      Verdict v = one(ask(0), now);
-      if (v instanceof Verdict.Placed) {
+      PlacementDecision v = one(ask(0), now);
+      if (v instanceof PlacementDecision.Placed) {
         sent++;
-        scheduler.report(end(v, AttemptEnd.ANSWERED, 100), now + 5);
+        scheduler.report(end(v, AttemptOutcome.ANSWERED, 100), now + 5);
       }
     }
-    assertThat(sent).isEqualTo(SETTINGS.coldBound(RULE.coldPerSecond()));
+    assertThat(sent).isEqualTo(SETTINGS.warmupRequestLimit(RULE.coldPerSecond()));
     assertThat(sent * 2).isLessThanOrEqualTo((int) (14 * 1.5 + 5));
   }
 
@@ -215,74 +226,79 @@
   void shouldPreferTheAskersDataCentreWhenTheBodyIsLarge() {
     UpstreamEntry far =
         new UpstreamEntry("far", "s", new Address("127.0.0.1", 80), "dc2", 4, false, 0, 1);
-    scheduler.upstreams(RULE, List.of(upstream("near", 4, 0), far), 0);
-    var upload = new Ask(new AskKey(1, 1), "dc2", "r", 1, 300, 300, 1_000, 60_000, false, Set.of());
+    scheduler.updateUpstreams(RULE, List.of(upstream("near", 4, 0), far), 0);
+    var upload =
+        new PlacementRequest(
+            new PlacementKey(1, 1), "dc2", "r", 1, 300, 300, 1_000, 60_000, false, Set.of());
     assertThat(placed(one(upload, 0))).isEqualTo("far");
   }
 
-  private Verdict spare(long nowMs, String... tried) {
-    var key = new AskKey(1, ++number);
-    return one(new Ask(key, "dc", "r", 1, 300, 300, 1_000, 0, true, Set.of(tried)), nowMs);
+  private PlacementDecision spare(long nowMs, String... tried) {
+    var key = new PlacementKey(1, ++number);
+    return one(
+        new PlacementRequest(key, "dc", "r", 1, 300, 300, 1_000, 0, true, Set.of(tried)), nowMs);
   }
 
   @Test
   void shouldAnswerAlikeWhenAnAskComesAgain() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
-    Ask first = ask(300);
-    Ask second = ask(300);
-    Ask third = ask(300);
-    Verdict place = one(first, 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
+    PlacementRequest first = ask(300);
+    PlacementRequest second = ask(300);
+    PlacementRequest third = ask(300);
+    PlacementDecision place = one(first, 0);
     one(second, 0);
-    assertThat(one(third, 0)).isInstanceOf(Verdict.Waits.class);
+    assertThat(one(third, 0)).isInstanceOf(PlacementDecision.Queued.class);
     assertThat(one(first, 30)).isEqualTo(place);
-    assertThat(scheduler.ask(third, 30)).containsExactly(new Verdict.Waits(third.key()));
-    assertThat(scheduler.report(end(place, AttemptEnd.ANSWERED, 100), 90))
-        .extracting(Verdict::key)
+    assertThat(scheduler.submit(third, 30))
+        .containsExactly(new PlacementDecision.Queued(third.key()));
+    assertThat(scheduler.report(end(place, AttemptOutcome.ANSWERED, 100), 90))
+        .extracting(PlacementDecision::key)
         .containsExactly(third.key());
   }
 
   @Test
   void shouldPlaceASecondAttemptWhenASlotIsLeftOver() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
     assertThat(placed(spare(0, "a"))).isEqualTo("b");
   }
 
   @Test
   void shouldTurnASecondAttemptAwayAtOnceWhenNoSlotIsLeftOver() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
     one(ask(300), 0);
-    assertThat(spare(0)).isInstanceOf(Verdict.TurnedAway.class);
-    assertThat(scheduler.busy()).isFalse();
+    assertThat(spare(0)).isInstanceOf(PlacementDecision.Rejected.class);
+    assertThat(scheduler.hasQueuedRequests()).isFalse();
   }
 
   @Test
   void shouldPreferAnUpstreamToWhichTheHostHasAConnection() {
-    scheduler.upstreams(
+    scheduler.updateUpstreams(
         RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0), upstream("c", 2, 0)), 0);
-    Verdict first = one(ask(300), 0);
-    scheduler.report(end(first, AttemptEnd.ANSWERED, 100), 90);
-    scheduler.probes(90);
+    PlacementDecision first = one(ask(300), 0);
+    scheduler.report(end(first, AttemptOutcome.ANSWERED, 100), 90);
+    scheduler.selectProbeTargets(90);
     for (String u : List.of("a", "b", "c")) {
-      scheduler.probed(u, new LoadFigures(0, 0, 2, 100), 95);
+      scheduler.recordProbeResponse(u, new ReportedLoad(0, 0, 2, 100), 95);
     }
     assertThat(placed(one(ask(300), 100))).isEqualTo(placed(first));
   }
 
   @Test
   void shouldTurnAwayWhenEveryUpstreamWasTried() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 4, 0)), 0);
-    assertThat(one(ask(300, "a"), 0)).isInstanceOf(Verdict.TurnedAway.class);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0)), 0);
+    assertThat(one(ask(300, "a"), 0)).isInstanceOf(PlacementDecision.Rejected.class);
   }
 
   @Test
   void shouldServeThoseFirstWhoCanStillBeOnTimeWhenSlotsAreShort() {
-    scheduler.upstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    Verdict running = one(ask(300), 0);
-    Ask late = ask(0);
-    Ask urgent = ask(300);
+    scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
+    PlacementDecision running = one(ask(300), 0);
+    PlacementRequest late = ask(0);
+    PlacementRequest urgent = ask(300);
     one(late, 0);
     one(urgent, 0);
-    List<Verdict> next = scheduler.report(end(running, AttemptEnd.ANSWERED, 100), 100);
-    assertThat(next).extracting(Verdict::key).containsExactly(urgent.key());
+    List<PlacementDecision> next =
+        scheduler.report(end(running, AttemptOutcome.ANSWERED, 100), 100);
+    assertThat(next).extracting(PlacementDecision::key).containsExactly(urgent.key());
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
@@ -32,20 +32,20 @@
     return new EditPlan(operation, List.of(new Edit(KEY, values, ifVersion)), OptionalLong.empty());
   }
 
-  private static Plan.Step.Commit commit(EditPlan plan, Table t) {
-    return (Plan.Step.Commit) plan.against(t);
+  private static ChangePlan.Step.Commit commit(EditPlan plan, Table t) {
+    return (ChangePlan.Step.Commit) plan.nextStep(t);
   }
 
   @Test
   void shouldExpectTheVersionItReadWhenItCommits() {
-    Plan.Step.Commit c = commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20)));
+    ChangePlan.Step.Commit c = commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20)));
     assertThat(c.routes()).containsExactly(row(5, 30, "a"));
   }
 
   @Test
   void shouldShowBothSidesWhenAnotherEditWasFirst() {
-    Plan.Step s = plan("a", 30, OptionalLong.of(5)).against(table(7, row(6, 25, "b")));
-    EditOutcome o = ((Plan.Step.Done) s).outcome();
+    ChangePlan.Step s = plan("a", 30, OptionalLong.of(5)).nextStep(table(7, row(6, 25, "b")));
+    EditOutcome o = ((ChangePlan.Step.Done) s).outcome();
     EditOutcome.ConflictSides sides = ((EditOutcome.Conflict) o).sides().get(0);
     assertThat(sides.mine().weight()).isEqualTo(30);
     assertThat(sides.theirs().weight()).isEqualTo(25);
@@ -53,8 +53,8 @@
 
   @Test
   void shouldBeAcceptedOnceWhenItIsRepeatedAfterItWasApplied() {
-    Plan.Step s = plan("a", 30, OptionalLong.of(5)).against(table(9, row(8, 30, "a")));
-    assertThat(((Plan.Step.Done) s).outcome()).isEqualTo(new EditOutcome.Accepted(8));
+    ChangePlan.Step s = plan("a", 30, OptionalLong.of(5)).nextStep(table(9, row(8, 30, "a")));
+    assertThat(((ChangePlan.Step.Done) s).outcome()).isEqualTo(new EditOutcome.Accepted(8));
   }
 
   @Test
@@ -64,19 +64,21 @@
     var known = new Edit(KEY, values, OptionalLong.empty());
     var unknown = new Edit(RouteKey.of("nope", "almaty-1"), values, OptionalLong.empty());
     for (List<Edit> edits : List.of(List.of(known, unknown), List.of(known, known))) {
-      Plan.Step s = new EditPlan("a", edits, OptionalLong.empty()).against(table(7, row(5, 20)));
-      assertThat(((Plan.Step.Done) s).outcome()).isInstanceOf(EditOutcome.NotAccepted.class);
+      ChangePlan.Step s =
+          new EditPlan("a", edits, OptionalLong.empty()).nextStep(table(7, row(5, 20)));
+      assertThat(((ChangePlan.Step.Done) s).outcome()).isInstanceOf(EditOutcome.NotAccepted.class);
     }
   }
 
   @Test
   void shouldTellTheFateOfACommitWhoseAnswerWasLost() {
-    Plan.Step.Commit c = commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20, "older")));
-    assertThat(c.fate(table(8, row(8, 30, "a", "older")))).isEqualTo(CommitFate.APPLIED);
-    assertThat(c.fate(table(9, row(9, 1, "b", "a", "older")))).isEqualTo(CommitFate.APPLIED);
-    assertThat(c.fate(table(8, row(8, 25, "b", "older")))).isEqualTo(CommitFate.RULED_OUT);
-    assertThat(c.fate(table(8, row(5, 20, "older")))).isEqualTo(CommitFate.OPEN);
+    ChangePlan.Step.Commit c =
+        commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20, "older")));
+    assertThat(c.statusIn(table(8, row(8, 30, "a", "older")))).isEqualTo(CommitStatus.APPLIED);
+    assertThat(c.statusIn(table(9, row(9, 1, "b", "a", "older")))).isEqualTo(CommitStatus.APPLIED);
+    assertThat(c.statusIn(table(8, row(8, 25, "b", "older")))).isEqualTo(CommitStatus.NOT_APPLIED);
+    assertThat(c.statusIn(table(8, row(5, 20, "older")))).isEqualTo(CommitStatus.PENDING);
     Route forgotten = row(20, 1, "i", "j", "k", "l", "m", "n", "o", "p");
-    assertThat(c.fate(table(20, forgotten))).isEqualTo(CommitFate.UNTRACEABLE);
+    assertThat(c.statusIn(table(20, forgotten))).isEqualTo(CommitStatus.UNKNOWN);
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptStateTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptStateTest.java
@@ -19,14 +19,15 @@
     for (AttemptEvent e : events) {
       s = s.after(e);
     }
-    NextStep step = s.next(new RequestTraits(idempotent, replayable, left, true));
+    RetryDecision step =
+        s.decideAfterFailure(new RetryConditions(idempotent, replayable, left, true));
     int sent = events.indexOf(AttemptEvent.SEND_STARTED);
     boolean refused =
         sent >= 0 && events.subList(sent, events.size()).contains(AttemptEvent.REFUSED);
-    if (step == NextStep.TELL_NOT_RUN) {
+    if (step == RetryDecision.REPORT_NOT_RUN) {
       assertThat(sent < 0 || refused).isTrue();
     }
-    if (step == NextStep.RETRY && !idempotent) {
+    if (step == RetryDecision.RETRY && !idempotent) {
       assertThat(sent < 0 || refused).isTrue();
     }
   }
@@ -38,7 +39,7 @@
     long retries = 0;
     for (int i = 0; i < calls.size(); i++) {
       budget.deposit();
-      while (budget.withdraw()) {
+      while (budget.tryWithdraw()) {
         retries++;
       }
     }
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptSteps.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptSteps.java
@@ -44,7 +44,7 @@
   /** Checks the decision. */
   @Then("^the next step is ([A-Z_]+)$")
   public void step(String step) {
-    var traits = new RequestTraits(idempotent, replayable, left, neverPossiblyRun);
-    assertThat(state.next(traits)).isEqualTo(NextStep.valueOf(step));
+    var traits = new RetryConditions(idempotent, replayable, left, neverPossiblyRun);
+    assertThat(state.decideAfterFailure(traits)).isEqualTo(RetryDecision.valueOf(step));
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/RepeatWindowTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/RepeatWindowTest.java
@@ -9,16 +9,16 @@
 class RepeatWindowTest {
   @Test
   void shouldKeepTheBoundInEveryWindowWhenEveryRequestWantsARepeat() {
-    var window = new RepeatWindow(10_000, 0.2);
+    var window = new RetryWindow(10_000, 0.2);
     List<Long> requests = new ArrayList<>();
     List<Long> repeats = new ArrayList<>();
     for (long now = 0; now < 60_000; now += 37) {
       // A pause in the middle lets old requests leave the window before their repeats.
       if (now < 20_000 || now > 33_000) {
-        window.request(now);
+        window.recordRequest(now);
         requests.add(now);
       }
-      if (window.repeat(3, now)) {
+      if (window.tryAcquireRetry(3, now)) {
         repeats.add(now);
       }
     }
@@ -33,10 +33,10 @@
 
   @Test
   void shouldAllowTheAllowanceAndNoMoreWhenThereAreNoRequests() {
-    var window = new RepeatWindow(10_000, 0.2);
-    assertThat(window.repeat(2, 5)).isTrue();
-    assertThat(window.repeat(2, 6)).isTrue();
-    assertThat(window.repeat(2, 7)).isFalse();
-    assertThat(window.repeat(2, 10_600)).isTrue();
+    var window = new RetryWindow(10_000, 0.2);
+    assertThat(window.tryAcquireRetry(2, 5)).isTrue();
+    assertThat(window.tryAcquireRetry(2, 6)).isTrue();
+    assertThat(window.tryAcquireRetry(2, 7)).isFalse();
+    assertThat(window.tryAcquireRetry(2, 10_600)).isTrue();
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/state/UpstreamSteps.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/state/UpstreamSteps.java
@@ -38,21 +38,21 @@
     switch (e) {
       case "nothing" -> {}
       case "pause" -> nowMs += PAUSE_MS;
-      case "success" -> observe(new Evidence.Success(10, false));
-      case "warm" -> observe(new Evidence.Success(10, true));
-      case "error" -> observe(new Evidence.ServerError(1));
-      case "refusal" -> observe(new Evidence.Refusal());
-      case "timeout" -> observe(new Evidence.Timeout());
-      case "lost" -> observe(new Evidence.ConnectionLost());
-      case "cold" -> observe(new Evidence.SaysCold());
-      case "leaving" -> observe(new Evidence.SaysLeaving());
-      case "expiry" -> observe(new Evidence.KnowledgeExpired());
-      case "listed" -> observe(new Evidence.ListedLive());
+      case "success" -> observe(new Observation.Success(10, false));
+      case "warm" -> observe(new Observation.Success(10, true));
+      case "error" -> observe(new Observation.ServerError(1));
+      case "refusal" -> observe(new Observation.Refusal());
+      case "timeout" -> observe(new Observation.Timeout());
+      case "lost" -> observe(new Observation.ConnectionLost());
+      case "cold" -> observe(new Observation.ReportedCold());
+      case "leaving" -> observe(new Observation.ReportedLeaving());
+      case "expiry" -> observe(new Observation.StateExpired());
+      case "listed" -> observe(new Observation.ListedActive());
       default -> throw new IllegalArgumentException(e);
     }
   }
 
-  private void observe(Evidence e) {
+  private void observe(Observation e) {
     health = health.observe(e, nowMs);
   }
 
@@ -60,6 +60,6 @@
   @Then("^it is ([A-Z]+) with a limit of (\\d+) of 4$")
   public void check(String state, int limit) {
     assertThat(health.state()).isEqualTo(UpstreamState.valueOf(state));
-    assertThat(health.limit(OPERATOR_LIMIT, nowMs)).isEqualTo(limit);
+    assertThat(health.effectiveLimit(OPERATOR_LIMIT, nowMs)).isEqualTo(limit);
   }
 }
--- a/decisions/src/test/resources/dev/cactusstack/decisions/attempts.feature
+++ b/decisions/src/test/resources/dev/cactusstack/decisions/attempts.feature
@@ -11,21 +11,21 @@
     Examples:
       | method         | body        | left | events                              | step         |
       | not idempotent | no body     | more | CONNECT_FAILED                      | RETRY        |
-      | not idempotent | no body     | no   | CONNECT_FAILED                      | TELL_NOT_RUN |
-      | not idempotent | a used body | more | CONNECT_FAILED                      | TELL_NOT_RUN |
-      | not idempotent | no body     | more | SEND_STARTED,CONNECTION_LOST        | TELL_UNKNOWN |
-      | not idempotent | no body     | more | SEND_STARTED,TIMED_OUT              | TELL_UNKNOWN |
+      | not idempotent | no body     | no   | CONNECT_FAILED                      | REPORT_NOT_RUN |
+      | not idempotent | a used body | more | CONNECT_FAILED                      | REPORT_NOT_RUN |
+      | not idempotent | no body     | more | SEND_STARTED,CONNECTION_LOST        | REPORT_UNKNOWN |
+      | not idempotent | no body     | more | SEND_STARTED,TIMED_OUT              | REPORT_UNKNOWN |
       | not idempotent | no body     | more | SEND_STARTED,REFUSED                | RETRY        |
-      | not idempotent | a used body | more | SEND_STARTED,REFUSED                | TELL_NOT_RUN |
-      | not idempotent | no body     | more | SEND_STARTED,ANSWER_STARTED,CONNECTION_LOST | ABORT_ANSWER |
+      | not idempotent | a used body | more | SEND_STARTED,REFUSED                | REPORT_NOT_RUN |
+      | not idempotent | no body     | more | SEND_STARTED,RESPONSE_STARTED,CONNECTION_LOST | ABORT_RESPONSE |
       | idempotent     | no body     | more | SEND_STARTED,CONNECTION_LOST        | RETRY        |
-      | idempotent     | a used body | more | SEND_STARTED,CONNECTION_LOST        | TELL_UNKNOWN |
-      | idempotent     | no body     | no   | SEND_STARTED,TIMED_OUT              | TELL_UNKNOWN |
-      | idempotent     | no body     | more | SEND_STARTED,ANSWER_STARTED,CONNECTION_LOST | ABORT_ANSWER |
+      | idempotent     | a used body | more | SEND_STARTED,CONNECTION_LOST        | REPORT_UNKNOWN |
+      | idempotent     | no body     | no   | SEND_STARTED,TIMED_OUT              | REPORT_UNKNOWN |
+      | idempotent     | no body     | more | SEND_STARTED,RESPONSE_STARTED,CONNECTION_LOST | ABORT_RESPONSE |
 
   Scenario: An earlier attempt may have run
     Given a request that is not idempotent with no body
     And no attempts left
     And an earlier attempt that may have run
     When an attempt sees CONNECT_FAILED
-    Then the next step is TELL_UNKNOWN
+    Then the next step is REPORT_UNKNOWN
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.decisions.placing.AttemptEnd;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
 import dev.cactusstack.gateway.net.Reply;
 import dev.cactusstack.gateway.site.UpstreamWire;
 import java.util.Set;
@@ -18,24 +18,24 @@
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
   /** How the attempt ended that brought the reply. */
-  AttemptEnd end(Reply reply) {
+  AttemptOutcome end(Reply reply) {
     if (reply instanceof Reply.NotSent) {
-      return AttemptEnd.UNREACHABLE;
+      return AttemptOutcome.UNREACHABLE;
     }
     if (reply instanceof Reply.Broken) {
-      return AttemptEnd.BROKEN;
+      return AttemptOutcome.BROKEN;
     }
     if (!(reply instanceof Reply.Answer r)) {
-      return AttemptEnd.TIMED_OUT;
+      return AttemptOutcome.TIMED_OUT;
     }
     if (wire.notRun(r.status(), r.headers())) {
-      return r.status() == MISDIRECTED ? AttemptEnd.WRONG_INSTANCE : AttemptEnd.REFUSED;
+      return r.status() == MISDIRECTED ? AttemptOutcome.WRONG_INSTANCE : AttemptOutcome.REFUSED;
     }
     boolean success = r.status() >= SUCCESS && r.status() < REDIRECT;
     if (success && !wire.signed(r.headers())) {
-      return AttemptEnd.BROKEN;
+      return AttemptOutcome.BROKEN;
     }
-    return r.status() >= SERVER_ERROR ? AttemptEnd.FAILED : AttemptEnd.ANSWERED;
+    return r.status() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
   }
 
   /** Tells whether an upstream's own failure can be passed on without promising too much. */
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
@@ -1,11 +1,11 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.AttemptEnd;
-import dev.cactusstack.decisions.placing.LoadFigures;
-import dev.cactusstack.decisions.placing.Report;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.decisions.retries.HedgeDelay;
 import dev.cactusstack.gateway.net.Exchange;
 import dev.cactusstack.gateway.net.Outgoing;
@@ -49,7 +49,7 @@
   private final long onTimeAtMs;
   private final Set<String> tried = new HashSet<>();
   private final List<Attempt> running = new ArrayList<>();
-  private @Nullable AskKey asking;
+  private @Nullable PlacementKey asking;
   private @Nullable Future<?> endTimer;
   private @Nullable Future<?> hedgeTimer;
   private @Nullable Reply lastFailure;
@@ -73,12 +73,12 @@
     this.service = tools.parts().next(route);
     long callerMs = tools.wire().deadlineMs(request.headers()).orElse(route.timeoutMs());
     this.endMs = request.arrivedMs() + Math.min(callerMs, route.timeoutMs());
-    long spentMs = tools.patience().spentMs(route.name(), callerMs);
+    long spentMs = tools.patience().elapsedMs(route.name(), callerMs);
     this.onTimeAtMs = request.arrivedMs() + route.objectiveMs() - spentMs;
   }
 
   void start() {
-    tools.repeats(service).request(now());
+    tools.repeats(service).recordRequest(now());
     endTimer = tools.loop().schedule(this::timeOver, Math.max(1, left()), TimeUnit.MILLISECONDS);
     ask(false);
   }
@@ -94,15 +94,15 @@
     stopTimers();
     withdraw();
     if (route.kind().repeatable()) {
-      abandonAll(AttemptEnd.ABANDONED);
+      abandonAll(AttemptOutcome.ABANDONED);
     }
   }
 
   private void ask(boolean spare) {
-    AskKey key = tools.placement().nextKey();
+    PlacementKey key = tools.placement().nextKey();
     asking = key;
     var ask =
-        new Ask(
+        new PlacementRequest(
             key,
             tools.dataCentre(),
             route.name(),
@@ -116,17 +116,17 @@
     tools.placement().place(service, ask, v -> decided(v, spare));
   }
 
-  private void decided(Verdict v, boolean spare) {
+  private void decided(PlacementDecision v, boolean spare) {
     asking = null;
-    if (v instanceof Verdict.Placed p) {
+    if (v instanceof PlacementDecision.Placed p) {
       placed(p);
-    } else if (v instanceof Verdict.TurnedAway t && running.isEmpty()) {
+    } else if (v instanceof PlacementDecision.Rejected t && running.isEmpty()) {
       turnedAway(t, spare);
     }
   }
 
   /** A second attempt that got no slot, while the first has failed meanwhile, asks like a first. */
-  private void turnedAway(Verdict.TurnedAway t, boolean spare) {
+  private void turnedAway(PlacementDecision.Rejected t, boolean spare) {
     if (spare && left() > LEAST_TIME_MS) {
       ask(false);
     } else {
@@ -134,14 +134,14 @@
     }
   }
 
-  private void placed(Verdict.Placed p) {
+  private void placed(PlacementDecision.Placed p) {
     boolean again = arrivals > 0 || !running.isEmpty();
     if (done || left() < LEAST_TIME_MS) {
-      report(p.key(), p.upstream(), AttemptEnd.UNUSED, 0, Optional.empty());
+      report(p.key(), p.upstream(), AttemptOutcome.UNUSED, 0, Optional.empty());
       return;
     }
     if (again && !mayRepeat()) {
-      report(p.key(), p.upstream(), AttemptEnd.UNUSED, 0, Optional.empty());
+      report(p.key(), p.upstream(), AttemptOutcome.UNUSED, 0, Optional.empty());
       event("no_repeat").with("why", "budget").write();
       if (running.isEmpty()) {
         giveUp(Refusal.NOT_RUN, REFUSED_RETRY_MS);
@@ -157,7 +157,7 @@
     return allowed;
   }
 
-  private void send(Verdict.Placed p) {
+  private void send(PlacementDecision.Placed p) {
     UpstreamEntry u = p.upstream();
     sends++;
     tried.add(u.id());
@@ -170,7 +170,7 @@
         .with("upstream", u.id())
         .with("address", u.address().toString())
         .with("attempt", sends)
-        .with("ask", p.key().number())
+        .with("ask", p.key().sequenceNumber())
         .with("waited_ms", now() - request.arrivedMs())
         .with("left_ms", left())
         .write();
@@ -183,7 +183,7 @@
             headers,
             request.body(),
             this::mine,
-            tools.rest(service).mostMs(route.kind().repeatable(), now()));
+            tools.rest(service).maxIdleMs(route.kind().repeatable(), now()));
     attempt.exchange =
         tools.client().send(outgoing, left() + EXCHANGE_SLACK_MS, reply -> ended(attempt, reply));
     if (sends == 1 && route.kind().repeatable() && route.maxAttempts() > 1) {
@@ -196,8 +196,8 @@
   }
 
   private long hedgeAfter() {
-    double usual = tools.workTimes().of(route.name(), route.objectiveMs());
-    return HedgeDelay.ms(usual, onTimeAtMs - now());
+    double usual = tools.workTimes().estimateMs(route.name(), route.objectiveMs());
+    return HedgeDelay.delayMs(usual, onTimeAtMs - now());
   }
 
   /** Sends the request to a second upstream while the first has not answered. */
@@ -210,25 +210,25 @@
 
   private void ended(Attempt a, Reply reply) {
     running.remove(a);
-    Optional<LoadFigures> load =
+    Optional<ReportedLoad> load =
         reply instanceof Reply.Answer r ? tools.wire().load(r.headers()) : Optional.empty();
-    AttemptEnd end = tools.judge().end(reply);
+    AttemptOutcome end = tools.judge().end(reply);
     report(a.key, a.upstream, end, now() - a.sinceMs, load);
     figures().attemptEnded(end.label());
     if (reply instanceof Reply.Broken && now() - a.sinceMs <= AT_ONCE_MS && a.exchange != null) {
-      tools.rest(service).reset(a.exchange.restedMs(), now());
+      tools.rest(service).recordReset(a.exchange.restedMs(), now());
     }
-    if (end != AttemptEnd.UNREACHABLE) {
+    if (end != AttemptOutcome.UNREACHABLE) {
       arrivals++;
     }
-    if (!end.notRun()) {
+    if (!end.provesNotRun()) {
       runs++;
       mayHaveRun = true;
     }
     if (done) {
       return;
     }
-    if (end == AttemptEnd.ANSWERED && reply instanceof Reply.Answer r) {
+    if (end == AttemptOutcome.ANSWERED && reply instanceof Reply.Answer r) {
       learn(now() - a.sinceMs, load);
       deliver(r, a.upstream);
       return;
@@ -243,11 +243,11 @@
   }
 
   /** Decides what follows an attempt that brought no good answer. */
-  private void next(AttemptEnd end, Reply reply) {
+  private void next(AttemptOutcome end, Reply reply) {
     if (!running.isEmpty() || asking != null) {
       return;
     }
-    boolean allowed = end.notRun() || route.kind().repeatable();
+    boolean allowed = end.provesNotRun() || route.kind().repeatable();
     boolean attemptsLeft =
         runs < route.maxAttempts() && sends < route.maxAttempts() + SENDS_BEYOND_ATTEMPTS;
     lastFailure = reply;
@@ -255,12 +255,12 @@
       ask(false);
       return;
     }
-    giveUp(end.notRun() ? Refusal.NOT_RUN : Refusal.NO_ANSWER, REFUSED_RETRY_MS);
+    giveUp(end.provesNotRun() ? Refusal.NOT_RUN : Refusal.NO_ANSWER, REFUSED_RETRY_MS);
   }
 
-  private void learn(long tookMs, Optional<LoadFigures> load) {
-    double pace = load.map(LoadFigures::pace).orElse(1.0);
-    tools.workTimes().took(route.name(), route.objectiveMs(), tookMs, pace);
+  private void learn(long tookMs, Optional<ReportedLoad> load) {
+    double pace = load.map(ReportedLoad::slowdown).orElse(1.0);
+    tools.workTimes().recordResponse(route.name(), route.objectiveMs(), tookMs, pace);
   }
 
   private void deliver(Reply.Answer r, UpstreamEntry by) {
@@ -269,7 +269,7 @@
     event("answered")
         .with("status", r.status())
         .with("upstream", by.id())
-        .with("load", tools.wire().load(r.headers()).map(LoadFigures::toString).orElse("untold"))
+        .with("load", tools.wire().load(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
         .with("took_ms", now() - request.arrivedMs())
         .write();
@@ -282,7 +282,7 @@
     }
     boolean sentAny = running.stream().anyMatch(a -> a.exchange != null && a.exchange.sent());
     mayHaveRun |= sentAny;
-    abandonAll(AttemptEnd.TIMED_OUT);
+    abandonAll(AttemptOutcome.TIMED_OUT);
     giveUp(Refusal.LATE, REFUSED_RETRY_MS);
   }
 
@@ -323,7 +323,7 @@
     // Attempts that are still running end by themselves; only their report is wanted.
   }
 
-  private void abandonAll(AttemptEnd end) {
+  private void abandonAll(AttemptOutcome end) {
     for (Attempt a : List.copyOf(running)) {
       if (a.exchange != null) {
         a.exchange.abandon();
@@ -350,8 +350,8 @@
   }
 
   private void report(
-      AskKey key, UpstreamEntry u, AttemptEnd end, long tookMs, Optional<LoadFigures> load) {
-    tools.placement().report(service, new Report(key, u.id(), end, tookMs, load));
+      PlacementKey key, UpstreamEntry u, AttemptOutcome end, long tookMs, Optional<ReportedLoad> load) {
+    tools.placement().report(service, new AttemptReport(key, u.id(), end, tookMs, load));
   }
 
   private RouteFigures figures() {
@@ -371,12 +371,12 @@
   }
 
   private static final class Attempt {
-    private final AskKey key;
+    private final PlacementKey key;
     private final UpstreamEntry upstream;
     private final long sinceMs;
     private @Nullable Exchange exchange;
 
-    Attempt(AskKey key, UpstreamEntry upstream, long sinceMs) {
+    Attempt(PlacementKey key, UpstreamEntry upstream, long sinceMs) {
       this.key = key;
       this.upstream = upstream;
       this.sinceMs = sinceMs;
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
@@ -1,10 +1,10 @@
 package dev.cactusstack.gateway.callers;
 
 import dev.cactusstack.decisions.matching.WeightedParts;
-import dev.cactusstack.decisions.placing.WorkTimes;
-import dev.cactusstack.decisions.retries.Patience;
-import dev.cactusstack.decisions.retries.RepeatWindow;
-import dev.cactusstack.decisions.retries.RestBound;
+import dev.cactusstack.decisions.placing.ProcessingTimes;
+import dev.cactusstack.decisions.retries.CallerElapsedTime;
+import dev.cactusstack.decisions.retries.RetryWindow;
+import dev.cactusstack.decisions.retries.IdleReuseLimit;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.observe.Figures;
@@ -43,10 +43,10 @@
     HttpClient client,
     Placement placement,
     WeightedParts parts,
-    Map<String, RepeatWindow> repeats,
-    Map<String, RestBound> rests,
-    WorkTimes workTimes,
-    Patience patience,
+    Map<String, RetryWindow> repeats,
+    Map<String, IdleReuseLimit> rests,
+    ProcessingTimes workTimes,
+    CallerElapsedTime patience,
     RepeatBudget repeatBudget,
     Figures figures) {
 
@@ -84,19 +84,19 @@
         new WeightedParts(),
         new HashMap<>(),
         new HashMap<>(),
-        new WorkTimes(),
-        new Patience(),
+        new ProcessingTimes(),
+        new CallerElapsedTime(),
         repeatBudget,
         figures);
   }
 
-  RepeatWindow repeats(String service) {
+  RetryWindow repeats(String service) {
     return repeats.computeIfAbsent(
-        service, s -> new RepeatWindow(repeatBudget.windowMs, repeatBudget.ratio));
+        service, s -> new RetryWindow(repeatBudget.windowMs, repeatBudget.ratio));
   }
 
-  RestBound rest(String service) {
-    return rests.computeIfAbsent(service, s -> new RestBound());
+  IdleReuseLimit rest(String service) {
+    return rests.computeIfAbsent(service, s -> new IdleReuseLimit());
   }
 
   ReplyJudge judge() {
@@ -104,7 +104,7 @@
   }
 
   boolean mayRepeat(String service) {
-    return repeats(service).repeat(repeatBudget.allowance.getAsDouble(), clock.getAsLong());
+    return repeats(service).tryAcquireRetry(repeatBudget.allowance.getAsDouble(), clock.getAsLong());
   }
 
   /**
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
@@ -3,12 +3,12 @@
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
 import dev.cactusstack.decisions.gossip.Pulse;
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.AttemptEnd;
-import dev.cactusstack.decisions.placing.LoadFigures;
-import dev.cactusstack.decisions.placing.Report;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.HostEntry;
 import dev.cactusstack.model.site.UpstreamEntry;
@@ -202,24 +202,24 @@
     return new LinkMessage.Beat(revision, news, pulses);
   }
 
-  private static void writeAsk(CodedOutputStream out, Ask a) throws IOException {
+  private static void writeAsk(CodedOutputStream out, PlacementRequest a) throws IOException {
     writeKey(out, a.key());
     out.writeStringNoTag(a.dataCentre());
     out.writeStringNoTag(a.route());
     out.writeUInt32NoTag(a.priority());
-    out.writeUInt64NoTag(a.objectiveMs());
-    out.writeUInt64NoTag(a.onTimeMs());
-    out.writeUInt64NoTag(a.leftMs());
+    out.writeUInt64NoTag(a.latencyObjectiveMs());
+    out.writeUInt64NoTag(a.objectiveRemainingMs());
+    out.writeUInt64NoTag(a.deadlineRemainingMs());
     out.writeUInt32NoTag(a.bodyBytes());
-    out.writeBoolNoTag(a.spare());
-    out.writeUInt32NoTag(a.tried().size());
-    for (String t : a.tried()) {
+    out.writeBoolNoTag(a.hedge());
+    out.writeUInt32NoTag(a.excludedUpstreams().size());
+    for (String t : a.excludedUpstreams()) {
       out.writeStringNoTag(t);
     }
   }
 
-  private static Ask readAsk(CodedInputStream in) throws IOException {
-    AskKey key = readKey(in);
+  private static PlacementRequest readAsk(CodedInputStream in) throws IOException {
+    PlacementKey key = readKey(in);
     String dataCentre = in.readString();
     String route = in.readString();
     int priority = in.readUInt32();
@@ -232,15 +232,15 @@
     for (int n = count(in); n > 0; n--) {
       tried.add(in.readString());
     }
-    return new Ask(key, dataCentre, route, priority, objective, onTime, left, body, spare, tried);
+    return new PlacementRequest(key, dataCentre, route, priority, objective, onTime, left, body, spare, tried);
   }
 
-  private static void writeVerdict(CodedOutputStream out, Verdict v) throws IOException {
+  private static void writeVerdict(CodedOutputStream out, PlacementDecision v) throws IOException {
     writeKey(out, v.key());
-    if (v instanceof Verdict.Placed p) {
+    if (v instanceof PlacementDecision.Placed p) {
       out.writeUInt32NoTag(1);
       writeUpstream(out, p.upstream());
-    } else if (v instanceof Verdict.TurnedAway t) {
+    } else if (v instanceof PlacementDecision.Rejected t) {
       out.writeUInt32NoTag(2);
       out.writeUInt64NoTag(t.retryAfterMs());
     } else {
@@ -248,12 +248,12 @@
     }
   }
 
-  private static Verdict readVerdict(CodedInputStream in) throws IOException {
-    AskKey key = readKey(in);
+  private static PlacementDecision readVerdict(CodedInputStream in) throws IOException {
+    PlacementKey key = readKey(in);
     return switch (in.readUInt32()) {
-      case 1 -> new Verdict.Placed(key, readUpstream(in));
-      case 2 -> new Verdict.TurnedAway(key, in.readUInt64());
-      default -> new Verdict.Waits(key);
+      case 1 -> new PlacementDecision.Placed(key, readUpstream(in));
+      case 2 -> new PlacementDecision.Rejected(key, in.readUInt64());
+      default -> new PlacementDecision.Queued(key);
     };
   }
 
@@ -281,48 +281,48 @@
   private static void writeEnded(CodedOutputStream out, LinkMessage.Ended e) throws IOException {
     out.writeStringNoTag(e.service());
     out.writeUInt32NoTag(e.reports().size());
-    for (Report r : e.reports()) {
+    for (AttemptReport r : e.reports()) {
       writeKey(out, r.key());
-      out.writeStringNoTag(r.upstream());
-      out.writeUInt32NoTag(r.end().ordinal());
-      out.writeUInt64NoTag(r.tookMs());
+      out.writeStringNoTag(r.upstreamId());
+      out.writeUInt32NoTag(r.outcome().ordinal());
+      out.writeUInt64NoTag(r.durationMs());
       out.writeBoolNoTag(r.load().isPresent());
       if (r.load().isPresent()) {
-        LoadFigures l = r.load().get();
+        ReportedLoad l = r.load().get();
         out.writeUInt32NoTag(l.running());
         out.writeUInt32NoTag(l.waiting());
         out.writeUInt32NoTag(l.slots());
-        out.writeUInt32NoTag(l.pacePercent());
+        out.writeUInt32NoTag(l.slowdownPercent());
       }
     }
   }
 
   private static LinkMessage readEnded(CodedInputStream in) throws IOException {
     String service = in.readString();
-    List<Report> reports = new ArrayList<>();
+    List<AttemptReport> reports = new ArrayList<>();
     for (int n = count(in); n > 0; n--) {
-      AskKey key = readKey(in);
+      PlacementKey key = readKey(in);
       String upstream = in.readString();
-      AttemptEnd end = AttemptEnd.values()[count(in)];
+      AttemptOutcome end = AttemptOutcome.values()[count(in)];
       long took = in.readUInt64();
-      Optional<LoadFigures> load =
+      Optional<ReportedLoad> load =
           in.readBool()
               ? Optional.of(
-                  new LoadFigures(
+                  new ReportedLoad(
                       in.readUInt32(), in.readUInt32(), in.readUInt32(), in.readUInt32()))
               : Optional.empty();
-      reports.add(new Report(key, upstream, end, took, load));
+      reports.add(new AttemptReport(key, upstream, end, took, load));
     }
     return new LinkMessage.Ended(service, reports);
   }
 
-  private static void writeKey(CodedOutputStream out, AskKey k) throws IOException {
-    out.writeFixed32NoTag(k.host());
-    out.writeUInt64NoTag(k.number());
+  private static void writeKey(CodedOutputStream out, PlacementKey k) throws IOException {
+    out.writeFixed32NoTag(k.hostHash());
+    out.writeUInt64NoTag(k.sequenceNumber());
   }
 
-  private static AskKey readKey(CodedInputStream in) throws IOException {
-    return new AskKey(in.readFixed32(), in.readUInt64());
+  private static PlacementKey readKey(CodedInputStream in) throws IOException {
+    return new PlacementKey(in.readFixed32(), in.readUInt64());
   }
 
   private static void writeAddress(CodedOutputStream out, Address a) throws IOException {
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
@@ -1,10 +1,10 @@
 package dev.cactusstack.gateway.scheduling;
 
 import dev.cactusstack.decisions.gossip.Pulse;
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.Report;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.gateway.site.KnownConfiguration;
 import dev.cactusstack.model.site.HostEntry;
 import java.util.List;
@@ -47,14 +47,14 @@
    * @param service the service's name
    * @param ask the request
    */
-  record Asked(String service, Ask ask) implements LinkMessage {}
+  record Asked(String service, PlacementRequest ask) implements LinkMessage {}
 
   /**
    * What was decided about it.
    *
    * @param verdict the decision
    */
-  record Decided(Verdict verdict) implements LinkMessage {}
+  record Decided(PlacementDecision verdict) implements LinkMessage {}
 
   /**
    * Ends of attempts; the newest first, then some that were told before, as datagrams get lost.
@@ -62,7 +62,7 @@
    * @param service the service's name
    * @param reports the ends
    */
-  record Ended(String service, List<Report> reports) implements LinkMessage {
+  record Ended(String service, List<AttemptReport> reports) implements LinkMessage {
     /** Copies the components. */
     public Ended {
       reports = List.copyOf(reports);
@@ -75,7 +75,7 @@
    * @param service the service's name
    * @param key its ask
    */
-  record Withdrawn(String service, AskKey key) implements LinkMessage {}
+  record Withdrawn(String service, PlacementKey key) implements LinkMessage {}
 
   /**
    * An ask that the sender does not decide, because it does not reach the store, or has not read
@@ -83,5 +83,5 @@
    *
    * @param key the ask
    */
-  record Unable(AskKey key) implements LinkMessage {}
+  record Unable(PlacementKey key) implements LinkMessage {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Placement.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Placement.java
@@ -1,11 +1,11 @@
 package dev.cactusstack.gateway.scheduling;
 
 import dev.cactusstack.decisions.gossip.PeerTable;
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.AttemptEnd;
-import dev.cactusstack.decisions.placing.Report;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.decisions.routing.SchedulerRanking;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.model.Address;
@@ -52,7 +52,7 @@
   private final Map<Long, Address> placedBy = new HashMap<>();
   private final Map<Integer, Address> askers = new HashMap<>();
   private final Map<Address, Long> suspects = new HashMap<>();
-  private final Map<Address, Deque<Report>> recent = new HashMap<>();
+  private final Map<Address, Deque<AttemptReport>> recent = new HashMap<>();
   private final Map<String, Ranking> rankings = new HashMap<>();
   private long lastNumber;
 
@@ -93,8 +93,8 @@
    *
    * @return a key that no other ask of this site has
    */
-  public AskKey nextKey() {
-    return new AskKey(self, ++lastNumber);
+  public PlacementKey nextKey() {
+    return new PlacementKey(self, ++lastNumber);
   }
 
   /**
@@ -104,7 +104,7 @@
    * @param ask the request
    * @param end receives one place or refusal
    */
-  public void place(String service, Ask ask, Consumer<Verdict> end) {
+  public void place(String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
     ask(new Pending(service, ask, end));
   }
 
@@ -114,14 +114,14 @@
    * @param service the service's name
    * @param r the end
    */
-  public void report(String service, Report r) {
-    Address by = placedBy.remove(r.key().number());
+  public void report(String service, AttemptReport r) {
+    Address by = placedBy.remove(r.key().sequenceNumber());
     if (by == null) {
       schedulers.report(service, r);
       return;
     }
-    Deque<Report> last = recent.computeIfAbsent(by, a -> new ArrayDeque<>());
-    List<Report> told = new ArrayList<>();
+    Deque<AttemptReport> last = recent.computeIfAbsent(by, a -> new ArrayDeque<>());
+    List<AttemptReport> told = new ArrayList<>();
     told.add(r);
     told.addAll(last);
     last.addFirst(r);
@@ -136,8 +136,8 @@
    *
    * @param key the ask
    */
-  public void withdraw(AskKey key) {
-    Pending p = pending.remove(key.number());
+  public void withdraw(PlacementKey key) {
+    Pending p = pending.remove(key.sequenceNumber());
     if (p == null) {
       return;
     }
@@ -157,13 +157,13 @@
    */
   public void received(LinkMessage m, Address from) {
     if (m instanceof LinkMessage.Asked a) {
-      askers.put(a.ask().key().host(), from);
+      askers.put(a.ask().key().hostHash(), from);
       schedulers.ask(a.service(), a.ask(), () -> link.send(new LinkMessage.Unable(key(a)), from));
     } else if (m instanceof LinkMessage.Decided d) {
       suspects.remove(from);
       decided(d.verdict(), from);
     } else if (m instanceof LinkMessage.Unable u) {
-      Pending p = pending.get(u.key().number());
+      Pending p = pending.get(u.key().sequenceNumber());
       if (p != null && from.equals(p.asked)) {
         passOver(p, from, "unable");
       }
@@ -174,14 +174,14 @@
     }
   }
 
-  private static AskKey key(LinkMessage.Asked a) {
+  private static PlacementKey key(LinkMessage.Asked a) {
     return a.ask().key();
   }
 
   private void ask(Pending p) {
     Optional<Address> owner = p.tries < REMOTE_TRIES ? owner(p) : Optional.empty();
     p.tries++;
-    pending.put(p.ask.key().number(), p);
+    pending.put(p.ask.key().sequenceNumber(), p);
     if (owner.isEmpty()) {
       p.asked = null;
       schedulers.ask(p.service, p.ask);
@@ -221,7 +221,7 @@
 
   private void silent(Pending p) {
     Address asked = p.asked;
-    if (pending.get(p.ask.key().number()) != p || asked == null) {
+    if (pending.get(p.ask.key().sequenceNumber()) != p || asked == null) {
       return;
     }
     if (!p.waits && !p.resent) {
@@ -241,63 +241,63 @@
         .with("why", why)
         .with("service", p.service)
         .with("asked", asked.toString())
-        .with("ask", p.ask.key().number())
+        .with("ask", p.ask.key().sequenceNumber())
         .write();
     if (p.waits) {
-      finish(p, new Verdict.TurnedAway(p.ask.key(), ANSWER_TIMEOUT_MS));
+      finish(p, new PlacementDecision.Rejected(p.ask.key(), ANSWER_TIMEOUT_MS));
     } else {
       ask(p);
     }
   }
 
-  private void decided(Verdict v, Address from) {
-    Pending p = pending.get(v.key().number());
+  private void decided(PlacementDecision v, Address from) {
+    Pending p = pending.get(v.key().sequenceNumber());
     boolean expected = p != null && from.equals(p.asked);
     if (p == null || !expected) {
-      if (v instanceof Verdict.Placed placed) {
+      if (v instanceof PlacementDecision.Placed placed) {
         giveBack(p, placed, from);
       }
       return;
     }
-    if (v instanceof Verdict.Waits) {
+    if (v instanceof PlacementDecision.Queued) {
       p.stopTimer();
       p.waits = true;
-      long wait = p.ask.leftMs();
+      long wait = p.ask.deadlineRemainingMs();
       p.startTimer(loop.schedule(() -> silent(p), wait, TimeUnit.MILLISECONDS));
       return;
     }
-    if (v instanceof Verdict.Placed) {
-      placedBy.put(v.key().number(), from);
+    if (v instanceof PlacementDecision.Placed) {
+      placedBy.put(v.key().sequenceNumber(), from);
     }
     finish(p, v);
   }
 
-  private void giveBack(@Nullable Pending p, Verdict.Placed v, Address from) {
-    if (from.equals(placedBy.get(v.key().number()))) {
+  private void giveBack(@Nullable Pending p, PlacementDecision.Placed v, Address from) {
+    if (from.equals(placedBy.get(v.key().sequenceNumber()))) {
       return;
     }
-    var unused = new Report(v.key(), v.upstream().id(), AttemptEnd.UNUSED, 0, Optional.empty());
+    var unused = new AttemptReport(v.key(), v.upstream().id(), AttemptOutcome.UNUSED, 0, Optional.empty());
     String service = p != null ? p.service : v.upstream().service();
     link.send(new LinkMessage.Ended(service, List.of(unused)), from);
   }
 
   /** Passes on a verdict of this host's own schedulers. */
-  private void deliver(Verdict v) {
-    if (v.key().host() != self) {
-      Address asker = askers.get(v.key().host());
+  private void deliver(PlacementDecision v) {
+    if (v.key().hostHash() != self) {
+      Address asker = askers.get(v.key().hostHash());
       if (asker != null) {
         link.send(new LinkMessage.Decided(v), asker);
       }
       return;
     }
-    Pending p = pending.get(v.key().number());
-    if (p != null && p.asked == null && !(v instanceof Verdict.Waits)) {
+    Pending p = pending.get(v.key().sequenceNumber());
+    if (p != null && p.asked == null && !(v instanceof PlacementDecision.Queued)) {
       finish(p, v);
     }
   }
 
-  private void finish(Pending p, Verdict v) {
-    pending.remove(p.ask.key().number());
+  private void finish(Pending p, PlacementDecision v) {
+    pending.remove(p.ask.key().sequenceNumber());
     p.stopTimer();
     p.end.accept(v);
   }
@@ -306,15 +306,15 @@
 
   private static final class Pending {
     private final String service;
-    private final Ask ask;
-    private final Consumer<Verdict> end;
+    private final PlacementRequest ask;
+    private final Consumer<PlacementDecision> end;
     private int tries;
     private boolean resent;
     private boolean waits;
     private @Nullable Address asked;
     private @Nullable Future<?> timer;
 
-    Pending(String service, Ask ask, Consumer<Verdict> end) {
+    Pending(String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
       this.service = service;
       this.ask = ask;
       this.end = end;
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.scheduling;
 
-import dev.cactusstack.decisions.placing.LoadFigures;
+import dev.cactusstack.decisions.placing.ReportedLoad;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.net.Outgoing;
 import dev.cactusstack.gateway.net.Reply;
@@ -40,7 +40,7 @@
     return sent;
   }
 
-  void probe(UpstreamEntry u, String path, Consumer<LoadFigures> figures) {
+  void probe(UpstreamEntry u, String path, Consumer<ReportedLoad> figures) {
     sent++;
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.HOST, u.address().toString());
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Schedulers.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Schedulers.java
@@ -1,11 +1,11 @@
 package dev.cactusstack.gateway.scheduling;
 
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.Report;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptReport;
 import dev.cactusstack.decisions.placing.Scheduler;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.gateway.control.UpstreamsController;
 import dev.cactusstack.gateway.observe.EventLine;
 import dev.cactusstack.gateway.observe.EventLog;
@@ -37,7 +37,7 @@
   private final BooleanSupplier othersInformed;
   private final Map<String, Scheduler> byService = new HashMap<>();
   private final Map<String, Long> askedAt = new HashMap<>();
-  private Consumer<Verdict> verdicts = v -> {};
+  private Consumer<PlacementDecision> verdicts = v -> {};
   private boolean ticking;
   private boolean probing;
 
@@ -70,17 +70,17 @@
     upstreams.onChange(this::refresh);
   }
 
-  void onVerdict(Consumer<Verdict> receiver) {
+  void onVerdict(Consumer<PlacementDecision> receiver) {
     verdicts = receiver;
   }
 
   /** Decides about an ask of this host itself, with whatever is known. */
-  void ask(String service, Ask ask) {
+  void ask(String service, PlacementRequest ask) {
     upstreams.whenFresh(() -> decide(service, ask));
   }
 
   /** Decides about an ask of another host, unless this one knows nothing or others know more. */
-  void ask(String service, Ask ask, Runnable unable) {
+  void ask(String service, PlacementRequest ask, Runnable unable) {
     upstreams.whenFresh(
         () -> {
           boolean othersKnowMore = upstreams.stale() && othersInformed.getAsBoolean();
@@ -92,25 +92,25 @@
         });
   }
 
-  private void decide(String service, Ask ask) {
+  private void decide(String service, PlacementRequest ask) {
     long now = clock.getAsLong();
     askedAt.put(service, now);
-    deliver(service, scheduler(service).ask(ask, now));
+    deliver(service, scheduler(service).submit(ask, now));
     tickSoon();
     probeSoon();
   }
 
-  void report(String service, Report r) {
+  void report(String service, AttemptReport r) {
     Scheduler s = byService.get(service);
     if (s != null) {
       deliver(service, s.report(r, clock.getAsLong()));
     }
   }
 
-  void withdraw(String service, AskKey key) {
+  void withdraw(String service, PlacementKey key) {
     Scheduler s = byService.get(service);
     if (s != null) {
-      s.withdraw(key);
+      s.cancel(key);
     }
   }
 
@@ -119,7 +119,7 @@
     if (s == null) {
       s = new Scheduler(settings);
       byService.put(service, s);
-      s.upstreams(upstreams.rule(service), upstreams.usable(service), clock.getAsLong());
+      s.updateUpstreams(upstreams.rule(service), upstreams.usable(service), clock.getAsLong());
     }
     return s;
   }
@@ -127,21 +127,21 @@
   private void refresh() {
     long now = clock.getAsLong();
     byService.forEach(
-        (service, s) -> s.upstreams(upstreams.rule(service), upstreams.usable(service), now));
+        (service, s) -> s.updateUpstreams(upstreams.rule(service), upstreams.usable(service), now));
   }
 
-  private void deliver(String service, List<Verdict> list) {
+  private void deliver(String service, List<PlacementDecision> list) {
     list.forEach(v -> tell(service, v));
     list.forEach(verdicts);
   }
 
-  private void tell(String service, Verdict v) {
+  private void tell(String service, PlacementDecision v) {
     EventLine line = log.event("decided").with("service", service);
-    line.with("asker", v.key().host()).with("ask", v.key().number());
-    if (v instanceof Verdict.Placed p) {
-      String figures = scheduler(service).describe(p.upstream().id(), clock.getAsLong());
+    line.with("asker", v.key().hostHash()).with("ask", v.key().sequenceNumber());
+    if (v instanceof PlacementDecision.Placed p) {
+      String figures = scheduler(service).describeUpstream(p.upstream().id(), clock.getAsLong());
       line.with("outcome", "placed").with("upstream", p.upstream().id()).with("knew", figures);
-    } else if (v instanceof Verdict.TurnedAway t) {
+    } else if (v instanceof PlacementDecision.Rejected t) {
       line.with("outcome", "turned-away").with("retry_ms", t.retryAfterMs());
     } else {
       line.with("outcome", "waits");
@@ -163,9 +163,9 @@
     for (String service : askedAt.keySet()) {
       Scheduler s = scheduler(service);
       String path = upstreams.rule(service).healthPath();
-      for (UpstreamEntry u : path.isEmpty() ? List.<UpstreamEntry>of() : s.probes(now)) {
+      for (UpstreamEntry u : path.isEmpty() ? List.<UpstreamEntry>of() : s.selectProbeTargets(now)) {
         prober.probe(
-            u, path, figures -> deliver(service, s.probed(u.id(), figures, clock.getAsLong())));
+            u, path, figures -> deliver(service, s.recordProbeResponse(u.id(), figures, clock.getAsLong())));
       }
     }
     if (!askedAt.isEmpty()) {
@@ -174,7 +174,7 @@
   }
 
   private void tickSoon() {
-    if (!ticking && byService.values().stream().anyMatch(Scheduler::busy)) {
+    if (!ticking && byService.values().stream().anyMatch(Scheduler::hasQueuedRequests)) {
       ticking = true;
       loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
@@ -184,7 +184,7 @@
     ticking = false;
     long now = clock.getAsLong();
     for (Map.Entry<String, Scheduler> e : List.copyOf(byService.entrySet())) {
-      if (e.getValue().busy()) {
+      if (e.getValue().hasQueuedRequests()) {
         deliver(e.getKey(), e.getValue().tick(now));
       }
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamWire.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamWire.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.site;
 
-import dev.cactusstack.decisions.placing.LoadFigures;
+import dev.cactusstack.decisions.placing.ReportedLoad;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Optional;
 import java.util.OptionalLong;
@@ -72,5 +72,5 @@
    * @param headers the answer's header fields
    * @return the figures
    */
-  Optional<LoadFigures> load(HttpHeaders headers);
+  Optional<ReportedLoad> load(HttpHeaders headers);
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.decisions.gossip.PeerTable;
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
 import dev.cactusstack.gateway.net.ClientLimits;
 import dev.cactusstack.gateway.net.HttpClient;
@@ -63,7 +63,7 @@
 
   @Test
   void shouldNotTurnAskersAwayWhenItHasNeverReadTheUpstreams() {
-    var ask = new Ask(new AskKey(7, 1), "dc", "r", 1, 300, 300, 1_000, 0, false, Set.of());
+    var ask = new PlacementRequest(new PlacementKey(7, 1), "dc", "r", 1, 300, 300, 1_000, 0, false, Set.of());
     placement.received(new LinkMessage.Asked("s", ask), OTHER);
     store.upstreamReads.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.UNKNOWN));
     time.run(200);
--- a/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
@@ -4,12 +4,12 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import dev.cactusstack.decisions.gossip.Pulse;
-import dev.cactusstack.decisions.placing.Ask;
-import dev.cactusstack.decisions.placing.AskKey;
-import dev.cactusstack.decisions.placing.AttemptEnd;
-import dev.cactusstack.decisions.placing.LoadFigures;
-import dev.cactusstack.decisions.placing.Report;
-import dev.cactusstack.decisions.placing.Verdict;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.gateway.site.KnownConfiguration;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
@@ -30,7 +30,7 @@
 
 class LinkCodecTest {
   private static final Address A = new Address("10.0.0.1", 7_200);
-  private static final AskKey KEY = new AskKey(-5, 1L << 40);
+  private static final PlacementKey KEY = new PlacementKey(-5, 1L << 40);
 
   private static final List<LinkMessage> MESSAGES =
       List.of(
@@ -40,21 +40,21 @@
               List.of(
                   new Pulse(-1, 9, 4, true, false, true), new Pulse(2, 1, 1, false, true, false))),
           new LinkMessage.Asked(
-              "s", new Ask(KEY, "dc", "r", 2, 300, 250, 900, 60_000, true, Set.of("u"))),
+              "s", new PlacementRequest(KEY, "dc", "r", 2, 300, 250, 900, 60_000, true, Set.of("u"))),
           new LinkMessage.Decided(
-              new Verdict.Placed(KEY, new UpstreamEntry("u", "s", A, "dc", 4, false, 0, 5))),
-          new LinkMessage.Decided(new Verdict.TurnedAway(KEY, 40)),
-          new LinkMessage.Decided(new Verdict.Waits(KEY)),
+              new PlacementDecision.Placed(KEY, new UpstreamEntry("u", "s", A, "dc", 4, false, 0, 5))),
+          new LinkMessage.Decided(new PlacementDecision.Rejected(KEY, 40)),
+          new LinkMessage.Decided(new PlacementDecision.Queued(KEY)),
           new LinkMessage.Ended(
               "s",
               List.of(
-                  new Report(
+                  new AttemptReport(
                       KEY,
                       "u",
-                      AttemptEnd.ANSWERED,
+                      AttemptOutcome.ANSWERED,
                       90,
-                      Optional.of(new LoadFigures(1, 2, 4, 700))),
-                  new Report(KEY, "u", AttemptEnd.UNUSED, 0, Optional.empty()))),
+                      Optional.of(new ReportedLoad(1, 2, 4, 700))),
+                  new AttemptReport(KEY, "u", AttemptOutcome.UNUSED, 0, Optional.empty()))),
           new LinkMessage.Withdrawn("s", KEY),
           new LinkMessage.Unable(KEY),
           new LinkMessage.RulesWanted(77),
--- a/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
@@ -256,7 +256,7 @@
       fail(AttemptEvent.CONNECTION_LOST, new IOException(fault));
       return;
     }
-    state = state.after(AttemptEvent.ANSWER_STARTED);
+    state = state.after(AttemptEvent.RESPONSE_STARTED);
     listener.answered(response, ticker.nanos() - sentNanos);
     if (detached) {
       drop(x.getResponseChannel());
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestRun.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestRun.java
@@ -2,8 +2,8 @@
 
 import dev.cactusstack.decisions.retries.AttemptEvent;
 import dev.cactusstack.decisions.retries.AttemptState;
-import dev.cactusstack.decisions.retries.NextStep;
-import dev.cactusstack.decisions.retries.RequestTraits;
+import dev.cactusstack.decisions.retries.RetryDecision;
+import dev.cactusstack.decisions.retries.RetryConditions;
 import dev.cactusstack.host.callers.ConnectionPools.Freshness;
 import dev.cactusstack.host.callers.Destinations.Choice;
 import dev.cactusstack.host.callers.KeyedRequests.Admission;
@@ -277,14 +277,14 @@
         attempts < path.settings().attempts()
             && !facts.repeated()
             && !exchange.isResponseStarted()
-            && path.retries().withdraw();
-    var traits = new RequestTraits(facts.idempotent(), isBodyUntouched(), left, !everPossiblyRun);
-    NextStep step = state.next(traits);
+            && path.retries().tryWithdraw();
+    var traits = new RetryConditions(facts.idempotent(), isBodyUntouched(), left, !everPossiblyRun);
+    RetryDecision step = state.decideAfterFailure(traits);
     switch (step) {
       case RETRY -> again(cause);
-      case TELL_NOT_RUN -> tell(cause, reason, Outcome.NOT_RUN);
-      case TELL_UNKNOWN -> tell(cause, reason, Outcome.UNKNOWN);
-      case ABORT_ANSWER -> IoUtils.safeClose(exchange.getConnection());
+      case REPORT_NOT_RUN -> tell(cause, reason, Outcome.NOT_RUN);
+      case REPORT_UNKNOWN -> tell(cause, reason, Outcome.UNKNOWN);
+      case ABORT_RESPONSE -> IoUtils.safeClose(exchange.getConnection());
     }
   }
 
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
@@ -86,7 +86,7 @@
     long now = ticker.millis();
     long sum = 0;
     for (Upstream u : upstreams) {
-      sum += u.health().limit(l.perUpstream(), now);
+      sum += u.health().effectiveLimit(l.perUpstream(), now);
     }
     return (int) Math.min(l.inFlight(), sum);
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.host.callers;
 
 import dev.cactusstack.decisions.routing.UpstreamView;
-import dev.cactusstack.decisions.state.Evidence;
+import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.decisions.state.UpstreamHealth;
 import dev.cactusstack.decisions.state.UpstreamState;
 import dev.cactusstack.model.Address;
@@ -69,7 +69,7 @@
    * @param e the observation
    * @param nowMs when it was made
    */
-  public void observe(Evidence e, long nowMs) {
+  public void observe(Observation e, long nowMs) {
     health.updateAndGet(h -> Objects.requireNonNull(h).observe(e, nowMs));
   }
 
@@ -82,7 +82,7 @@
   public void expireKnowledge(long nowNanos) {
     boolean quiet = inFlight.get() == 0 && nowNanos - lastEndNanos > KNOWLEDGE_NANOS;
     if (quiet && health().state() == UpstreamState.WARM) {
-      observe(new Evidence.KnowledgeExpired(), TimeUnit.NANOSECONDS.toMillis(nowNanos));
+      observe(new Observation.StateExpired(), TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
   }
 
@@ -91,11 +91,11 @@
     long nowMs = TimeUnit.NANOSECONDS.toMillis(nowNanos);
     return new UpstreamView(
         inFlight.get(),
-        h.limit(operatorLimit, nowMs),
+        h.effectiveLimit(operatorLimit, nowMs),
         h.latencyMs(),
         oldestMs(nowNanos),
         inFlight.get() > 0 ? 0 : Math.max(0, (nowNanos - lastEndNanos) / 1e6),
-        h.failureShare());
+        h.failureRate());
   }
 
   private double oldestMs(long nowNanos) {
--- a/host/src/main/java/dev/cactusstack/host/callers/UpstreamRace.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/UpstreamRace.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.decisions.retries.AttemptEvent;
 import dev.cactusstack.decisions.retries.AttemptState;
-import dev.cactusstack.decisions.state.Evidence;
+import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.host.callers.ConnectionPools.Freshness;
 import dev.cactusstack.host.callers.RequestHeads.Passage;
 import dev.cactusstack.model.Address;
@@ -92,7 +92,7 @@
     Lease second = scheduler.tryAhead(Set.of(current));
     if (second == null) {
       armTimer(scheduler.usualMs() / 8);
-    } else if (path.hedges().withdraw()) {
+    } else if (path.hedges().tryWithdraw()) {
       begin(second);
     } else {
       second.release();
@@ -156,15 +156,15 @@
       LoadReport report =
           LoadReport.parse(response.getResponseHeaders().getFirst(CactusHeaders.LOAD));
       switch (report.state()) {
-        case LEAVING -> observe(new Evidence.SaysLeaving());
-        case COLD -> observe(new Evidence.SaysCold());
+        case LEAVING -> observe(new Observation.ReportedLeaving());
+        case COLD -> observe(new Observation.ReportedCold());
         default -> {}
       }
       boolean warm = report.state() == LoadReport.Reported.WARM;
       observe(
           response.getResponseCode() >= SERVER_ERROR
-              ? new Evidence.ServerError(ms)
-              : new Evidence.Success(ms, warm));
+              ? new Observation.ServerError(ms)
+              : new Observation.Success(ms, warm));
     }
 
     @Override
@@ -176,9 +176,9 @@
     public void failed(AttemptState state, AttemptEvent cause, String reason) {
       observe(
           switch (cause) {
-            case REFUSED -> new Evidence.Refusal();
-            case TIMED_OUT -> new Evidence.Timeout();
-            default -> new Evidence.ConnectionLost();
+            case REFUSED -> new Observation.Refusal();
+            case TIMED_OUT -> new Observation.Timeout();
+            default -> new Observation.ConnectionLost();
           });
       ended();
       possiblyRun |= !state.provesNotRun();
@@ -195,7 +195,7 @@
       lease.release();
     }
 
-    private void observe(Evidence e) {
+    private void observe(Observation e) {
       lease.upstream().observe(e, path.ticker().millis());
     }
   }
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -168,7 +168,7 @@
     Member self = members.self();
     List<HostId> here =
         members.members().values().stream()
-            .filter(m -> m.serves() && m.info().dataCentre().equals(self.info().dataCentre()))
+            .filter(m -> m.isServing() && m.info().dataCentre().equals(self.info().dataCentre()))
             .map(Member::id)
             .toList();
     return Rendezvous.ranked("table-reader", here, READERS_PER_DATA_CENTRE).contains(self.id());
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.host.control;
 
 import com.google.common.flogger.FluentLogger;
-import dev.cactusstack.decisions.recovery.Plan;
+import dev.cactusstack.decisions.recovery.ChangePlan;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.http.HttpFailure;
 import dev.cactusstack.model.EditOutcome;
@@ -48,7 +48,7 @@
    * @param plan the change
    * @return what became of it; never fails
    */
-  public CompletableFuture<EditOutcome> commit(Plan plan) {
+  public CompletableFuture<EditOutcome> commit(ChangePlan plan) {
     Objects.requireNonNull(plan, "plan is null");
     return new Run(plan)
         .readAndCommit(1)
@@ -61,7 +61,7 @@
         ProblemKind.INTERNAL, String.valueOf(t), "repeat the edit with the same operation id");
   }
 
-  private static EditOutcome logged(Plan plan, EditOutcome o) {
+  private static EditOutcome logged(ChangePlan plan, EditOutcome o) {
     LOG.atInfo().log(
         "%s",
         Event.named("edit")
@@ -72,12 +72,12 @@
 
   /** The progress of one change. Its steps run one after the other. */
   private final class Run {
-    private final Plan plan;
+    private final ChangePlan plan;
 
     /** A commit whose answer was lost, and that may still take effect. */
-    private Plan.Step.@Nullable Commit lost;
+    private ChangePlan.Step.@Nullable Commit lost;
 
-    Run(Plan plan) {
+    Run(ChangePlan plan) {
       this.plan = plan;
     }
 
@@ -93,31 +93,31 @@
 
     private CompletableFuture<EditOutcome> decide(Table now, int tries) {
       configuration.learn(now);
-      Plan.Step.Commit earlier = lost;
+      ChangePlan.Step.Commit earlier = lost;
       if (earlier == null) {
         return start(now, tries);
       }
-      return switch (earlier.fate(now)) {
-        case APPLIED -> done(new EditOutcome.Accepted(plan.appliedIn(now).orElse(now.version())));
-        case RULED_OUT -> {
+      return switch (earlier.statusIn(now)) {
+        case APPLIED -> done(new EditOutcome.Accepted(plan.appliedVersion(now).orElse(now.version())));
+        case NOT_APPLIED -> {
           lost = null;
           yield start(now, tries);
         }
         // Only one of two commits that expect the same versions can take effect.
-        case OPEN -> commit(earlier, now, tries);
-        case UNTRACEABLE ->
+        case PENDING -> commit(earlier, now, tries);
+        case UNKNOWN ->
             done(unknown("the row was edited many times since, and no longer tells"));
       };
     }
 
     private CompletableFuture<EditOutcome> start(Table now, int tries) {
-      Plan.Step step = plan.against(now);
-      return step instanceof Plan.Step.Commit c
+      ChangePlan.Step step = plan.nextStep(now);
+      return step instanceof ChangePlan.Step.Commit c
           ? commit(c, now, tries)
-          : done(((Plan.Step.Done) step).outcome());
+          : done(((ChangePlan.Step.Done) step).outcome());
     }
 
-    private CompletableFuture<EditOutcome> commit(Plan.Step.Commit c, Table base, int tries) {
+    private CompletableFuture<EditOutcome> commit(ChangePlan.Step.Commit c, Table base, int tries) {
       return store
           .commit(c.routes(), c.dataCentres())
           .handle(
@@ -127,7 +127,7 @@
     }
 
     private CompletableFuture<EditOutcome> committed(
-        Plan.Step.Commit commit, Table base, CommitOutcome o, int tries) {
+        ChangePlan.Step.Commit commit, Table base, CommitOutcome o, int tries) {
       if (o instanceof CommitOutcome.Committed c) {
         // The platform may go down before the next read. The rows are put into force from the
         // commit
@@ -144,7 +144,7 @@
       return again(tries, new HttpFailure(lost != null, "another edit was committed meanwhile"));
     }
 
-    private CompletableFuture<EditOutcome> failed(Plan.Step.Commit c, HttpFailure f, int tries) {
+    private CompletableFuture<EditOutcome> failed(ChangePlan.Step.Commit c, HttpFailure f, int tries) {
       if (f.mayBeProcessed()) {
         lost = c;
       }
--- a/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
@@ -5,8 +5,8 @@
 import dev.cactusstack.decisions.membership.MemberInfo;
 import dev.cactusstack.decisions.membership.MemberStatus;
 import dev.cactusstack.decisions.membership.Membership;
-import dev.cactusstack.decisions.membership.Outgoing;
-import dev.cactusstack.decisions.membership.Probe;
+import dev.cactusstack.decisions.membership.OutgoingMessage;
+import dev.cactusstack.decisions.membership.ProbeMessage;
 import dev.cactusstack.decisions.membership.ProbeTimings;
 import dev.cactusstack.decisions.membership.ServiceRate;
 import dev.cactusstack.host.observe.Event;
@@ -79,13 +79,13 @@
     publish();
   }
 
-  void receive(Address from, Probe probe, LinkMessage m) {
+  void receive(Address from, ProbeMessage probe, LinkMessage m) {
     membership.receive(from, probe, m.sender(), m.updates(), ticker.millis()).forEach(this::send);
     publish();
   }
 
   void list(Collection<Address> links) {
-    membership.list(links);
+    membership.updateHostList(links);
   }
 
   void announceVersion(long version) {
@@ -125,13 +125,13 @@
   }
 
   private void announce(MemberInfo info) {
-    membership.announce(info);
+    membership.updateSelf(info);
     publish();
   }
 
-  private void send(Outgoing o) {
+  private void send(OutgoingMessage o) {
     sender.send(
-        o.to(), new LinkMessage(o.sender(), o.updates(), new LinkBody.Detection(o.probe())));
+        o.receiver(), new LinkMessage(o.sender(), o.updates(), new LinkBody.Detection(o.probe())));
   }
 
   private void publish() {
--- a/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
+++ b/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
@@ -45,7 +45,7 @@
     this.serving = new ArrayList<>();
     for (Member m : members) {
       known.add(m);
-      if (m.serves()) {
+      if (m.isServing()) {
         serving.add(m);
         byId.put(m.id(), m);
         byDataCentre.computeIfAbsent(m.info().dataCentre(), d -> new ArrayList<>()).add(m.id());
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberStatus;
 import dev.cactusstack.decisions.routing.PickPolicy;
-import dev.cactusstack.decisions.state.Evidence;
+import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.host.callers.RouteScheduler;
 import dev.cactusstack.host.callers.RoutingView;
 import dev.cactusstack.host.callers.Upstream;
@@ -156,10 +156,10 @@
           ListedHost now = listed.get(address);
           boolean wasLeaving = old != null && old.leaving();
           if (now != null && now.leaving() && !wasLeaving) {
-            u.observe(new Evidence.SaysLeaving(), ticker.millis());
+            u.observe(new Observation.ReportedLeaving(), ticker.millis());
             LOG.atInfo().log("%s", Event.named("upstream_leaving").with("address", address));
           } else if (now != null && !now.leaving() && wasLeaving) {
-            u.observe(new Evidence.ListedLive(), ticker.millis());
+            u.observe(new Observation.ListedActive(), ticker.millis());
           }
         });
   }
@@ -193,7 +193,7 @@
   /** What of a member decides on owners and entries. */
   private record Serving(HostId id, long incarnation, boolean alive, boolean serves) {
     static Serving of(Member m) {
-      return new Serving(m.id(), m.incarnation(), m.status() == MemberStatus.ALIVE, m.serves());
+      return new Serving(m.id(), m.incarnation(), m.status() == MemberStatus.ALIVE, m.isServing());
     }
   }
 
@@ -224,7 +224,7 @@
             s.refuseAll(movedAway(key));
           } else if (!was && is) {
             // Another host, or nobody, has used the upstreams since this one last did.
-            s.upstreams().forEach(u -> u.observe(new Evidence.KnowledgeExpired(), ticker.millis()));
+            s.upstreams().forEach(u -> u.observe(new Observation.StateExpired(), ticker.millis()));
           }
         });
   }
@@ -262,7 +262,7 @@
         a -> {
           var u = new Upstream(a);
           if (h.leaving()) {
-            u.observe(new Evidence.SaysLeaving(), ticker.millis());
+            u.observe(new Observation.ReportedLeaving(), ticker.millis());
           }
           return u;
         });
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.host.operators;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.cactusstack.decisions.recovery.Plan;
+import dev.cactusstack.decisions.recovery.ChangePlan;
 import dev.cactusstack.host.control.EditService;
 import dev.cactusstack.host.observe.Metrics;
 import dev.cactusstack.model.Problem;
@@ -126,7 +126,7 @@
     }
   }
 
-  private void commit(HttpServerExchange x, Function<byte[], Result<Plan>> parse) {
+  private void commit(HttpServerExchange x, Function<byte[], Result<ChangePlan>> parse) {
     x.getRequestReceiver()
         .receiveFullBytes(
             (ex, body) ->
@@ -150,7 +150,7 @@
                         "send less")));
   }
 
-  private void run(HttpServerExchange x, Plan plan) {
+  private void run(HttpServerExchange x, ChangePlan plan) {
     edits.commit(plan).thenAccept(o -> x.getIoThread().execute(() -> JsonReplies.outcome(x, o)));
   }
 
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
@@ -130,7 +130,7 @@
           .put("data_centre", key.dataCentre().value())
           .put("state", u.health().state().label())
           .put("in_flight", u.inFlight())
-          .put("limit", u.health().limit(operatorLimit, ticker.millis()))
+          .put("limit", u.health().effectiveLimit(operatorLimit, ticker.millis()))
           .put("latency_ms", Math.round(u.health().latencyMs() * 100) / 100.0)
           .put("owner", self.value());
     }
--- a/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
+++ b/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.decisions.routing.PickPolicy;
-import dev.cactusstack.decisions.state.Evidence;
+import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
@@ -59,7 +59,7 @@
     for (int i = 0; i < count; i++) {
       var u = new Upstream(new Address("10.0.0." + (i + 1), 80));
       for (int k = 0; k < 8; k++) {
-        u.observe(new Evidence.Success(10, true), 0);
+        u.observe(new Observation.Success(10, true), 0);
       }
       list.add(u);
     }
--- a/link/src/main/java/dev/cactusstack/link/LinkBody.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkBody.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.link;
 
-import dev.cactusstack.decisions.membership.Probe;
+import dev.cactusstack.decisions.membership.ProbeMessage;
 import dev.cactusstack.model.Table;
 import java.util.Objects;
 
@@ -12,7 +12,7 @@
    *
    * @param probe the message
    */
-  record Detection(Probe probe) implements LinkBody {
+  record Detection(ProbeMessage probe) implements LinkBody {
     /** Checks the message. */
     public Detection {
       Objects.requireNonNull(probe, "probe is null");
--- a/link/src/main/java/dev/cactusstack/link/LinkCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkCodec.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import dev.cactusstack.decisions.membership.Member;
-import dev.cactusstack.decisions.membership.Probe;
+import dev.cactusstack.decisions.membership.ProbeMessage;
 import dev.cactusstack.link.generated.Ack;
 import dev.cactusstack.link.generated.Datagram;
 import dev.cactusstack.link.generated.Envelope;
@@ -61,12 +61,12 @@
     }
   }
 
-  private static void putProbe(Envelope.Builder e, Probe probe) {
-    if (probe instanceof Probe.Ping p) {
+  private static void putProbe(Envelope.Builder e, ProbeMessage probe) {
+    if (probe instanceof ProbeMessage.Ping p) {
       e.setPing(Ping.newBuilder().setNumber(p.number()));
-    } else if (probe instanceof Probe.Ack a) {
+    } else if (probe instanceof ProbeMessage.Ack a) {
       e.setAck(Ack.newBuilder().setNumber(a.number()));
-    } else if (probe instanceof Probe.PingRequest r) {
+    } else if (probe instanceof ProbeMessage.PingRequest r) {
       e.setPingRequest(
           PingRequest.newBuilder().setNumber(r.number()).setTarget(r.target().toString()));
     }
@@ -105,13 +105,13 @@
 
   private static Optional<LinkBody> body(Envelope e) {
     return switch (e.getBodyCase()) {
-      case PING -> detection(new Probe.Ping(e.getPing().getNumber()));
-      case ACK -> detection(new Probe.Ack(e.getAck().getNumber()));
+      case PING -> detection(new ProbeMessage.Ping(e.getPing().getNumber()));
+      case ACK -> detection(new ProbeMessage.Ack(e.getAck().getNumber()));
       case PING_REQUEST -> {
         Result<Address> target = Address.parse(e.getPingRequest().getTarget());
         yield target.fold(
             p -> Optional.empty(),
-            a -> detection(new Probe.PingRequest(e.getPingRequest().getNumber(), a)));
+            a -> detection(new ProbeMessage.PingRequest(e.getPingRequest().getNumber(), a)));
       }
       case CHANGES_QUERY ->
           Optional.of(
@@ -123,7 +123,7 @@
     };
   }
 
-  private static Optional<LinkBody> detection(Probe p) {
+  private static Optional<LinkBody> detection(ProbeMessage p) {
     return Optional.of(new LinkBody.Detection(p));
   }
 }
--- a/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
+++ b/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberInfo;
 import dev.cactusstack.decisions.membership.MemberStatus;
-import dev.cactusstack.decisions.membership.Probe;
+import dev.cactusstack.decisions.membership.ProbeMessage;
 import dev.cactusstack.decisions.membership.ServiceRate;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.DataCentre;
@@ -47,9 +47,9 @@
 
   static List<LinkBody> bodies() {
     return List.of(
-        new LinkBody.Detection(new Probe.Ping(7)),
-        new LinkBody.Detection(new Probe.Ack(-7)),
-        new LinkBody.Detection(new Probe.PingRequest(8, ADDRESS)),
+        new LinkBody.Detection(new ProbeMessage.Ping(7)),
+        new LinkBody.Detection(new ProbeMessage.Ack(-7)),
+        new LinkBody.Detection(new ProbeMessage.PingRequest(8, ADDRESS)),
         new LinkBody.ChangesQuery(new ChangeCursor(4, "route/a/b")),
         new LinkBody.ChangesPage(table(), true));
   }
