--- a/decisions/src/test/java/dev/cactusstack/decisions/gossip/PeerTableTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/gossip/PeerTableTest.java
@@ -164,23 +164,24 @@
   void shouldAllowOnlySchedulersThatKnowUpstreamsWhenNoHostReachesTheStore() {
     var a = new Address("127.0.0.1", 80);
     var table = new PeerTable("self", 3_500, new java.util.Random(3));
-    for (String name : List.of("self", "knows", "blank")) {
+    for (String name : List.of("self", "with-upstreams", "without-upstreams")) {
       table.recordStart(new HostRegistration(name, "dc", a, a, 600, 1), 0);
     }
     table.startRound(false, false, 0);
     table.mergeHeartbeats(
         List.of(
-            new HeartbeatState(PeerTable.hash("knows"), 1, 1, false, false, true),
-            new HeartbeatState(PeerTable.hash("blank"), 1, 1, false, true, false)),
+            new HeartbeatState(PeerTable.hash("with-upstreams"), 1, 1, false, false, true),
+            new HeartbeatState(PeerTable.hash("without-upstreams"), 1, 1, false, true, false)),
         0);
     assertThat(table.eligibleSchedulers(0)).hasSize(3);
     table.mergeHeartbeats(
-        List.of(new HeartbeatState(PeerTable.hash("blank"), 1, 2, false, false, false)), 0);
+        List.of(new HeartbeatState(PeerTable.hash("without-upstreams"), 1, 2, false, false, false)),
+        0);
     assertThat(table.eligibleSchedulers(0))
         .extracting(HostRegistration::name)
-        .containsExactly("knows");
+        .containsExactly("with-upstreams");
     table.mergeHeartbeats(
-        List.of(new HeartbeatState(PeerTable.hash("knows"), 1, 2, true, false, true)), 0);
+        List.of(new HeartbeatState(PeerTable.hash("with-upstreams"), 1, 2, true, false, true)), 0);
     assertThat(table.eligibleSchedulers(0)).hasSize(2);
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/routing/LoadBalancingPolicyTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/routing/LoadBalancingPolicyTest.java
@@ -84,13 +84,13 @@
       @ForAll @IntRange(max = 4) int inFlightA,
       @ForAll @IntRange(max = 4) int inFlightB,
       @ForAll @IntRange(max = 1000) int waiting,
-      @ForAll int turn) {
+      @ForAll int rotation) {
     List<UpstreamSnapshot> upstreams =
         List.of(
             new UpstreamSnapshot(inFlightA, 4, 30, 5, 0, 0),
             new UpstreamSnapshot(inFlightB, 2, 300, 5, 0, 0));
     LoadBalancingPolicy.LEAST_EXPECTED_LATENCY
-        .pick(upstreams, turn, waiting)
+        .pick(upstreams, rotation, waiting)
         .ifPresent(i -> assertThat(upstreams.get(i).hasCapacity()).isTrue());
   }
 }
