--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/Member.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/Member.java
@@ -7,9 +7,9 @@
  * A claim about a member. Immutable and thread-safe.
  *
  * @param id the member
- * @param incarnation chosen by the member; a restart or a refutation raises it
- * @param status what is believed of it
- * @param info what it says of itself
+ * @param incarnation chosen by the member; raised by a restart or a refutation
+ * @param status the claimed status
+ * @param info what the member announces about itself
  */
 public record Member(HostId id, long incarnation, MemberStatus status, MemberInfo info) {
 
@@ -21,24 +21,24 @@
   }
 
   /**
-   * Joins two claims about the same member. The join is commutative, associative and idempotent, so
-   * the order and repetition of messages do not matter.
+   * Merges two claims about the same member. The merge is commutative, associative and idempotent,
+   * so the order and repetition of messages do not matter.
    *
-   * @param o the other claim
-   * @return what both together say
+   * @param other the other claim
+   * @return the merged claim
    */
-  public Member merge(Member o) {
-    Objects.requireNonNull(o, "o is null");
-    if (incarnation != o.incarnation) {
-      return incarnation > o.incarnation ? this : o;
+  public Member merge(Member other) {
+    Objects.requireNonNull(other, "other is null");
+    if (incarnation != other.incarnation) {
+      return incarnation > other.incarnation ? this : other;
     }
-    MemberInfo newer = info.sequence() >= o.info.sequence() ? info : o.info;
-    MemberStatus worse = status.compareTo(o.status) >= 0 ? status : o.status;
+    MemberInfo newer = info.sequence() >= other.info.sequence() ? info : other.info;
+    MemberStatus worse = status.compareTo(other.status) >= 0 ? status : other.status;
     return new Member(id, incarnation, worse, newer);
   }
 
   /**
-   * Replaces the status.
+   * Returns a copy with another status.
    *
    * @param next the status
    * @return the changed claim
@@ -48,9 +48,9 @@
   }
 
   /**
-   * Replaces the statement.
+   * Returns a copy with other information.
    *
-   * @param next the statement
+   * @param next the information
    * @return the changed claim
    */
   public Member with(MemberInfo next) {
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Tells whether the member takes part in serving.
+   * Checks whether the member serves requests.
    *
-   * @return true when it is not dead and not leaving
+   * @return true if it is neither dead nor leaving
    */
   public boolean isServing() {
     return status != MemberStatus.DEAD && !info.leaving();
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/MemberInfo.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/MemberInfo.java
@@ -6,16 +6,17 @@
 import java.util.Objects;
 
 /**
- * What a member says of itself. Only the member raises {@code sequence}, with each change.
+ * The information that a member announces about itself. Only the member itself raises {@code
+ * sequence}, with each change.
  *
  * <p>Immutable and thread-safe.
  *
- * @param sequence orders the member's statements within one incarnation
- * @param dataCentre where it is
+ * @param sequence orders the member's announcements within one incarnation
+ * @param dataCentre the data centre of the member
  * @param link its address for other hosts, over UDP
  * @param callers its address for callers
  * @param operators its address for operators
- * @param configVersion the table version that it has in force
+ * @param configVersion the table version in force on the member
  * @param leaving whether it is shutting down
  * @param rates its busiest services
  */
@@ -39,7 +40,7 @@
   }
 
   /**
-   * Replaces the version in force.
+   * Returns the next announcement with another version in force.
    *
    * @param version the table version
    * @return the next statement
@@ -50,7 +51,7 @@
   }
 
   /**
-   * Announces the shutdown.
+   * Returns the next announcement, which reports the shutdown.
    *
    * @return the next statement
    */
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Replaces the arrival rates.
+   * Returns the next announcement with other arrival rates.
    *
    * @param next the rates
    * @return the next statement
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/MemberStatus.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/MemberStatus.java
@@ -1,21 +1,21 @@
 package dev.cactusstack.decisions.membership;
 
 /**
- * What is believed of a member. The order of the constants decides between claims of the same
- * incarnation: the later one wins. Immutable and thread-safe.
+ * The status of a member. The order of the constants decides between claims of the same
+ * incarnation: the later constant wins. Immutable and thread-safe.
  */
 public enum MemberStatus {
-  /** Answers probes. */
+  /** Responds to probes. */
   ALIVE,
-  /** Did not answer a probe; may still refute. */
+  /** Did not respond to a probe; can still refute the suspicion. */
   SUSPECT,
-  /** Did not refute a suspicion in time, or said that it has stopped. */
+  /** Did not refute a suspicion in time, or announced that it has stopped. */
   DEAD;
 
   /**
-   * Returns the status as operators see it.
+   * Returns the label of the status for operators.
    *
-   * @return the label
+   * @return the name in lower case
    */
   public String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/Membership.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/Membership.java
@@ -15,43 +15,43 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One host's view of the members, as a state machine driven by messages and ticks.
+ * One host's view of the group, as a state machine driven by messages and ticks.
  *
  * <p>Invariants: the host itself is always an alive member of its own view; a claim is replaced
- * only by one that {@link Member#merge} prefers; each tick sends at most one probe of a member, so
- * the cost does not grow with the number of members. Confined to one thread.
+ * only by one that {@link Member#merge} prefers; each tick probes at most one member, so the cost
+ * does not grow with the number of members. Confined to one thread.
  */
 public final class Membership {
   private static final int INDIRECT_PROBES = 3;
-  private static final int REJOINS_PER_PERIOD = 4;
+  private static final int MAX_REJOINS_PER_INTERVAL = 4;
   private static final double ROUND_TRIP_SMOOTHING = 0.2;
 
   private final ProbeTimings timings;
   private final Random random;
   private final HostId self;
   private final SortedMap<HostId, Member> members = new TreeMap<>();
-  private final Map<HostId, Long> since = new HashMap<>();
-  private final Map<HostId, Double> roundTrips = new HashMap<>();
-  private final Map<Address, Long> listed = new TreeMap<>();
-  private final Map<Long, Relay> relays = new HashMap<>();
-  private final UpdateQueue queue = new UpdateQueue();
-  private final List<HostId> order = new ArrayList<>();
-  private @Nullable Pending pending;
-  private long nextNumber;
+  private final Map<HostId, Long> statusChangedAtMs = new HashMap<>();
+  private final Map<HostId, Double> roundTripsMs = new HashMap<>();
+  private final Map<Address, Long> rejoinAttemptsMs = new TreeMap<>();
+  private final Map<Long, RelayedProbe> relayedProbes = new HashMap<>();
+  private final UpdateQueue updateQueue = new UpdateQueue();
+  private final List<HostId> probeOrder = new ArrayList<>();
+  private @Nullable PendingProbe pendingProbe;
+  private long lastNumber;
   private long nextProbeMs;
 
-  /** A probe of this host that waits for its answer. */
-  private record Pending(HostId target, long number, long sentMs, boolean asked) {}
+  /** A probe by this host that has not been acknowledged yet. */
+  private record PendingProbe(HostId target, long number, long sentAtMs, boolean indirectSent) {}
 
   /** A probe on behalf of another host. */
-  private record Relay(Address asker, long askerNumber, long sentMs) {}
+  private record RelayedProbe(Address requester, long requesterNumber, long sentAtMs) {}
 
   /**
    * Creates the view of a host that knows only itself.
    *
    * @param self the host's claim about itself
-   * @param timings the periods
-   * @param random draws the order of probes
+   * @param timings the timings of failure detection
+   * @param random shuffles the probe order and selects helpers
    */
   public Membership(Member self, ProbeTimings timings, Random random) {
     Objects.requireNonNull(self, "self is null");
@@ -62,9 +62,9 @@
   }
 
   /**
-   * Returns all members that are known, dead ones included.
+   * Returns all known members, including dead ones.
    *
-   * @return a snapshot by identity
+   * @return a snapshot, by host id
    */
   public SortedMap<HostId, Member> members() {
     return Collections.unmodifiableSortedMap(new TreeMap<>(members));
@@ -80,20 +80,23 @@
   }
 
   /**
-   * Replaces what the host says of itself.
+   * Replaces the information that the host announces about itself.
    *
-   * @param info the next statement
+   * @param info the next announcement
    */
   public void updateSelf(MemberInfo info) {
     Member next = self().with(info);
-    if (isUrgent(self(), next)) {
-      queue.add(self);
+    if (needsDissemination(self(), next)) {
+      updateQueue.add(self);
     }
     members.put(self, next);
   }
 
-  /** Arrival rates change all the time; they only travel with a member's own messages. */
-  private static boolean isUrgent(@Nullable Member known, Member next) {
+  /**
+   * Checks whether a change has to be disseminated. Arrival rates change constantly and are sent
+   * only with a member's own messages.
+   */
+  private static boolean needsDissemination(@Nullable Member known, Member next) {
     return known == null
         || known.incarnation() != next.incarnation()
         || known.status() != next.status()
@@ -102,223 +105,239 @@
   }
 
   /**
-   * Takes over the link addresses of the platform's host list. The list only says whom to try; it
-   * removes nobody.
+   * Replaces the link addresses from the platform's host list. The list only determines which hosts
+   * to contact; it does not remove members.
    *
    * @param links the listed link addresses
    */
   public void updateHostList(Collection<Address> links) {
-    listed.keySet().retainAll(links);
+    rejoinAttemptsMs.keySet().retainAll(links);
     links.stream()
-        .filter(a -> !a.equals(self().info().link()))
-        .forEach(a -> listed.putIfAbsent(a, 0L));
+        .filter(address -> !address.equals(self().info().link()))
+        .forEach(address -> rejoinAttemptsMs.putIfAbsent(address, 0L));
   }
 
   /**
-   * Moves time forward.
+   * Advances time: sends probes and expires members.
    *
-   * @param nowMs the present time, in milliseconds on a steady clock
-   * @return messages to send
+   * @param nowMs the current time on a monotonic clock, in milliseconds
+   * @return the messages to send
    */
   public List<OutgoingMessage> tick(long nowMs) {
-    var out = new ArrayList<OutgoingMessage>();
-    askOthers(nowMs, out);
+    var messages = new ArrayList<OutgoingMessage>();
+    sendIndirectProbes(nowMs, messages);
     if (nowMs >= nextProbeMs) {
-      // A probe that could not be judged in time, as after a pause of this host, is not counted.
-      boolean late = nextProbeMs > 0 && nowMs - nextProbeMs > timings.probeIntervalMs();
-      judgeProbe(nowMs, late);
-      expire(nowMs, late);
-      probeNext(nowMs, out);
-      rejoin(nowMs, out);
+      // A probe that this host evaluates too late, for example after a pause, does not count.
+      boolean delayed = nextProbeMs > 0 && nowMs - nextProbeMs > timings.probeIntervalMs();
+      evaluateProbe(nowMs, delayed);
+      expireMembers(nowMs, delayed);
+      probeNext(nowMs, messages);
+      contactListedHosts(nowMs, messages);
       nextProbeMs = nowMs + timings.probeIntervalMs();
     }
-    return out;
+    return messages;
   }
 
-  private void askOthers(long nowMs, List<OutgoingMessage> out) {
-    Pending p = pending;
-    if (p == null || p.asked || nowMs - p.sentMs < timings.directTimeoutMs()) {
+  private void sendIndirectProbes(long nowMs, List<OutgoingMessage> messages) {
+    PendingProbe pending = pendingProbe;
+    if (pending == null
+        || pending.indirectSent
+        || nowMs - pending.sentAtMs < timings.directTimeoutMs()) {
       return;
     }
-    pending = new Pending(p.target, p.number, p.sentMs, true);
-    Member target = members.get(p.target);
+    pendingProbe = new PendingProbe(pending.target, pending.number, pending.sentAtMs, true);
+    Member target = members.get(pending.target);
     if (target == null) {
       return;
     }
-    List<Member> helpers = new ArrayList<>(others());
-    helpers.removeIf(m -> m.id().equals(p.target) || m.status() != MemberStatus.ALIVE);
+    List<Member> helpers = new ArrayList<>(otherMembers());
+    helpers.removeIf(
+        helper -> helper.id().equals(pending.target) || helper.status() != MemberStatus.ALIVE);
     Collections.shuffle(helpers, random);
     helpers.stream()
         .limit(INDIRECT_PROBES)
         .map(
-            m ->
-                send(m.info().link(), new ProbeMessage.PingRequest(p.number, target.info().link())))
-        .forEach(out::add);
+            helper ->
+                createMessage(
+                    helper.info().link(),
+                    new ProbeMessage.PingRequest(pending.number, target.info().link())))
+        .forEach(messages::add);
   }
 
-  private void judgeProbe(long nowMs, boolean late) {
-    Pending p = pending;
-    pending = null;
-    Member m = p == null ? null : members.get(p.target);
-    if (m != null && m.status() == MemberStatus.ALIVE && !late) {
-      replace(m.with(MemberStatus.SUSPECT), nowMs);
+  private void evaluateProbe(long nowMs, boolean delayed) {
+    PendingProbe pending = pendingProbe;
+    pendingProbe = null;
+    Member probed = pending == null ? null : members.get(pending.target);
+    if (probed != null && probed.status() == MemberStatus.ALIVE && !delayed) {
+      updateMember(probed.with(MemberStatus.SUSPECT), nowMs);
     }
   }
 
-  private void expire(long nowMs, boolean late) {
-    for (Member m : others()) {
-      long age = nowMs - since.getOrDefault(m.id(), nowMs);
-      if (m.status() == MemberStatus.SUSPECT && late) {
-        since.put(m.id(), nowMs);
-      } else if (m.status() == MemberStatus.SUSPECT && age >= timings.suspicionTimeoutMs()) {
-        replace(m.with(MemberStatus.DEAD), nowMs);
-      } else if (m.status() == MemberStatus.DEAD && age >= timings.deadRetentionMs()) {
-        members.remove(m.id());
-        since.remove(m.id());
-        roundTrips.remove(m.id());
-        queue.remove(m.id());
+  private void expireMembers(long nowMs, boolean delayed) {
+    for (Member member : otherMembers()) {
+      long ageMs = nowMs - statusChangedAtMs.getOrDefault(member.id(), nowMs);
+      if (member.status() == MemberStatus.SUSPECT && delayed) {
+        statusChangedAtMs.put(member.id(), nowMs);
+      } else if (member.status() == MemberStatus.SUSPECT && ageMs >= timings.suspicionTimeoutMs()) {
+        updateMember(member.with(MemberStatus.DEAD), nowMs);
+      } else if (member.status() == MemberStatus.DEAD && ageMs >= timings.deadRetentionMs()) {
+        members.remove(member.id());
+        statusChangedAtMs.remove(member.id());
+        roundTripsMs.remove(member.id());
+        updateQueue.remove(member.id());
       }
     }
-    relays.values().removeIf(r -> nowMs - r.sentMs > timings.probeIntervalMs());
+    relayedProbes.values().removeIf(relay -> nowMs - relay.sentAtMs > timings.probeIntervalMs());
   }
 
-  private void probeNext(long nowMs, List<OutgoingMessage> out) {
-    order.removeIf(id -> !isProbed(id));
-    if (order.isEmpty()) {
-      others().stream().map(Member::id).filter(this::isProbed).forEach(order::add);
-      Collections.shuffle(order, random);
+  private void probeNext(long nowMs, List<OutgoingMessage> messages) {
+    probeOrder.removeIf(id -> !shouldProbe(id));
+    if (probeOrder.isEmpty()) {
+      otherMembers().stream().map(Member::id).filter(this::shouldProbe).forEach(probeOrder::add);
+      Collections.shuffle(probeOrder, random);
     }
-    if (order.isEmpty()) {
+    if (probeOrder.isEmpty()) {
       return;
     }
-    Member target = Objects.requireNonNull(members.get(order.remove(order.size() - 1)));
-    pending = new Pending(target.id(), ++nextNumber, nowMs, false);
-    out.add(send(target.info().link(), new ProbeMessage.Ping(nextNumber)));
+    Member target = Objects.requireNonNull(members.get(probeOrder.remove(probeOrder.size() - 1)));
+    pendingProbe = new PendingProbe(target.id(), ++lastNumber, nowMs, false);
+    messages.add(createMessage(target.info().link(), new ProbeMessage.Ping(lastNumber)));
   }
 
-  private boolean isProbed(HostId id) {
-    Member m = members.get(id);
-    return m != null && m.status() != MemberStatus.DEAD;
+  private boolean shouldProbe(HostId id) {
+    Member member = members.get(id);
+    return member != null && member.status() != MemberStatus.DEAD;
   }
 
-  private void rejoin(long nowMs, List<OutgoingMessage> out) {
-    var live =
-        others().stream()
-            .filter(m -> m.status() != MemberStatus.DEAD)
-            .map(m -> m.info().link())
+  private void contactListedHosts(long nowMs, List<OutgoingMessage> messages) {
+    var liveLinks =
+        otherMembers().stream()
+            .filter(member -> member.status() != MemberStatus.DEAD)
+            .map(member -> member.info().link())
             .toList();
-    listed.entrySet().stream()
-        .filter(e -> !live.contains(e.getKey()))
-        .filter(e -> e.getValue() == 0 || nowMs - e.getValue() >= timings.rejoinIntervalMs())
-        .limit(REJOINS_PER_PERIOD)
+    rejoinAttemptsMs.entrySet().stream()
+        .filter(attempt -> !liveLinks.contains(attempt.getKey()))
+        .filter(
+            attempt ->
+                attempt.getValue() == 0 || nowMs - attempt.getValue() >= timings.rejoinIntervalMs())
+        .limit(MAX_REJOINS_PER_INTERVAL)
         .toList()
         .forEach(
-            e -> {
-              listed.put(e.getKey(), nowMs);
-              out.add(send(e.getKey(), new ProbeMessage.Ping(++nextNumber)));
+            attempt -> {
+              rejoinAttemptsMs.put(attempt.getKey(), nowMs);
+              messages.add(createMessage(attempt.getKey(), new ProbeMessage.Ping(++lastNumber)));
             });
   }
 
   /**
    * Handles a message.
    *
-   * @param from the address it came from
+   * @param from the address that the message came from
    * @param probe the message
    * @param sender the sender's claim about itself
-   * @param updates the claims it carries
-   * @param nowMs the present time on the clock of {@link #tick}
-   * @return messages to send
+   * @param updates the claims that the message carries
+   * @param nowMs the current time on the clock of {@link #tick}
+   * @return the messages to send
    */
   public List<OutgoingMessage> receive(
       Address from, ProbeMessage probe, Member sender, List<Member> updates, long nowMs) {
-    learn(sender, nowMs);
-    updates.forEach(m -> learn(m, nowMs));
-    tellIfDoubted(sender.id());
-    if (probe instanceof ProbeMessage.Ping p) {
-      return List.of(send(from, new ProbeMessage.Ack(p.number())));
+    applyClaim(sender, nowMs);
+    updates.forEach(update -> applyClaim(update, nowMs));
+    disseminateIfNotAlive(sender.id());
+    if (probe instanceof ProbeMessage.Ping ping) {
+      return List.of(createMessage(from, new ProbeMessage.Ack(ping.number())));
     }
-    if (probe instanceof ProbeMessage.PingRequest r) {
-      relays.put(++nextNumber, new Relay(from, r.number(), nowMs));
-      return List.of(send(r.target(), new ProbeMessage.Ping(nextNumber)));
+    if (probe instanceof ProbeMessage.PingRequest pingRequest) {
+      relayedProbes.put(++lastNumber, new RelayedProbe(from, pingRequest.number(), nowMs));
+      return List.of(createMessage(pingRequest.target(), new ProbeMessage.Ping(lastNumber)));
     }
-    return acknowledged(((ProbeMessage.Ack) probe).number(), sender.id(), nowMs);
+    return handleAck(((ProbeMessage.Ack) probe).number(), sender.id(), nowMs);
   }
 
-  /** Lets a member that still sends, as after a pause, learn that it has to refute. */
-  private void tellIfDoubted(HostId id) {
+  /**
+   * Disseminates the status of a sender that is not considered alive, for example after a pause, so
+   * that it learns of the suspicion and can refute it.
+   */
+  private void disseminateIfNotAlive(HostId id) {
     Member known = members.get(id);
     if (known != null && known.status() != MemberStatus.ALIVE) {
-      queue.add(id);
+      updateQueue.add(id);
     }
   }
 
-  private List<OutgoingMessage> acknowledged(long number, HostId from, long nowMs) {
-    Pending p = pending;
-    if (p != null && p.number == number) {
-      pending = null;
-      if (!p.asked) {
-        noteRoundTrip(from, nowMs - p.sentMs);
+  private List<OutgoingMessage> handleAck(long number, HostId from, long nowMs) {
+    PendingProbe pending = pendingProbe;
+    if (pending != null && pending.number == number) {
+      pendingProbe = null;
+      if (!pending.indirectSent) {
+        recordRoundTrip(from, nowMs - pending.sentAtMs);
       }
     }
-    Relay r = relays.remove(number);
-    return r == null ? List.of() : List.of(send(r.asker, new ProbeMessage.Ack(r.askerNumber)));
+    RelayedProbe relay = relayedProbes.remove(number);
+    return relay == null
+        ? List.of()
+        : List.of(createMessage(relay.requester, new ProbeMessage.Ack(relay.requesterNumber)));
   }
 
-  private void noteRoundTrip(HostId id, long ms) {
-    Double before = roundTrips.get(id);
-    roundTrips.put(id, before == null ? ms : before + ROUND_TRIP_SMOOTHING * (ms - before));
+  private void recordRoundTrip(HostId id, long sampleMs) {
+    Double previousMs = roundTripsMs.get(id);
+    roundTripsMs.put(
+        id,
+        previousMs == null
+            ? sampleMs
+            : previousMs + ROUND_TRIP_SMOOTHING * (sampleMs - previousMs));
   }
 
   /**
-   * Returns the smoothed round trip to a member.
+   * Returns the smoothed round-trip time to a member.
    *
    * @param id the member
-   * @return milliseconds, 0 before the first answer
+   * @return the round-trip time in milliseconds; 0 before the first acknowledgement
    */
   public double roundTripMs(HostId id) {
-    return roundTrips.getOrDefault(id, 0.0);
+    return roundTripsMs.getOrDefault(id, 0.0);
   }
 
-  private void learn(Member claim, long nowMs) {
+  private void applyClaim(Member claim, long nowMs) {
     if (claim.id().equals(self)) {
-      refute(claim);
+      refuteClaim(claim);
       return;
     }
     Member known = members.get(claim.id());
     if (known == null && claim.status() == MemberStatus.DEAD) {
       return;
     }
-    replace(known == null ? claim : known.merge(claim), nowMs);
+    updateMember(known == null ? claim : known.merge(claim), nowMs);
   }
 
-  private void refute(Member claim) {
-    Member me = self();
-    boolean accused = claim.status() != MemberStatus.ALIVE;
-    if (claim.incarnation() > me.incarnation()
-        || accused && claim.incarnation() == me.incarnation()) {
-      members.put(self, new Member(self, claim.incarnation() + 1, MemberStatus.ALIVE, me.info()));
-      queue.add(self);
+  private void refuteClaim(Member claim) {
+    Member own = self();
+    boolean disputed = claim.status() != MemberStatus.ALIVE;
+    if (claim.incarnation() > own.incarnation()
+        || disputed && claim.incarnation() == own.incarnation()) {
+      members.put(self, new Member(self, claim.incarnation() + 1, MemberStatus.ALIVE, own.info()));
+      updateQueue.add(self);
     }
   }
 
-  private void replace(Member next, long nowMs) {
+  private void updateMember(Member next, long nowMs) {
     Member known = members.put(next.id(), next);
     if (next.equals(known)) {
       return;
     }
-    if (isUrgent(known, next)) {
-      queue.add(next.id());
+    if (needsDissemination(known, next)) {
+      updateQueue.add(next.id());
     }
     if (known == null || known.status() != next.status()) {
-      since.put(next.id(), nowMs);
+      statusChangedAtMs.put(next.id(), nowMs);
     }
   }
 
-  private List<Member> others() {
-    return members.values().stream().filter(m -> !m.id().equals(self)).toList();
+  private List<Member> otherMembers() {
+    return members.values().stream().filter(member -> !member.id().equals(self)).toList();
   }
 
-  private OutgoingMessage send(Address to, ProbeMessage probe) {
-    return new OutgoingMessage(to, probe, self(), queue.take(members));
+  private OutgoingMessage createMessage(Address receiver, ProbeMessage probe) {
+    return new OutgoingMessage(receiver, probe, self(), updateQueue.takeForMessage(members));
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/OutgoingMessage.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/OutgoingMessage.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 
 /**
- * A message to send. Immutable and thread-safe.
+ * A message to be sent. Immutable and thread-safe.
  *
  * @param receiver the receiver's link address
  * @param probe the message
@@ -17,7 +17,7 @@
 
   /** Checks the components and copies the updates. */
   public OutgoingMessage {
-    Objects.requireNonNull(receiver, "to is null");
+    Objects.requireNonNull(receiver, "receiver is null");
     Objects.requireNonNull(probe, "probe is null");
     Objects.requireNonNull(sender, "sender is null");
     updates = List.copyOf(updates);
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/ProbeMessage.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/ProbeMessage.java
@@ -7,23 +7,23 @@
 public sealed interface ProbeMessage {
 
   /**
-   * Asks the receiver to answer.
+   * Asks the receiver for an acknowledgement.
    *
-   * @param number matches the answer to the question
+   * @param number identifies the ping; its acknowledgement carries the same number
    */
   record Ping(long number) implements ProbeMessage {}
 
   /**
-   * Answers a ping.
+   * Acknowledges a ping.
    *
    * @param number the ping's number
    */
   record Ack(long number) implements ProbeMessage {}
 
   /**
-   * Asks the receiver to ping another member and to pass the answer on.
+   * Asks the receiver to ping another member and to forward the acknowledgement.
    *
-   * @param number the number that the passed-on answer carries
+   * @param number the number that the forwarded acknowledgement carries
    * @param target the member's link address
    */
   record PingRequest(long number, Address target) implements ProbeMessage {
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/ServiceRate.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/ServiceRate.java
@@ -4,10 +4,11 @@
 import java.util.Objects;
 
 /**
- * How many requests of a service a member receives from callers. Immutable and thread-safe.
+ * The rate at which a member receives requests for a service from callers. Immutable and
+ * thread-safe.
  *
  * @param service the service
- * @param perSecond the smoothed arrival rate, in requests a second
+ * @param perSecond the smoothed arrival rate, in requests per second
  */
 public record ServiceRate(ServiceName service, float perSecond) {
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/UpdateQueue.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/UpdateQueue.java
@@ -8,42 +8,42 @@
 import java.util.Map;
 
 /**
- * Claims that still have to be passed on, each a bounded number of times, least sent first.
+ * Queue of claims to disseminate. Each is sent a bounded number of times, the least sent first.
  *
  * <p>Confined to one thread.
  */
 final class UpdateQueue {
-  private static final int PER_MESSAGE = 5;
+  private static final int MAX_UPDATES_PER_MESSAGE = 5;
   private static final int TRANSMISSIONS_PER_DOUBLING = 3;
 
-  private final Map<HostId, Integer> sent = new HashMap<>();
+  private final Map<HostId, Integer> transmissions = new HashMap<>();
 
   void add(HostId id) {
-    sent.put(id, 0);
+    transmissions.put(id, 0);
   }
 
   void remove(HostId id) {
-    sent.remove(id);
+    transmissions.remove(id);
   }
 
-  /** Takes the claims for one message to a group of the given size. */
-  List<Member> take(Map<HostId, Member> members) {
+  /** Selects the claims for one message. */
+  List<Member> takeForMessage(Map<HostId, Member> members) {
     int limit = TRANSMISSIONS_PER_DOUBLING * (32 - Integer.numberOfLeadingZeros(members.size()));
     List<HostId> chosen =
-        sent.entrySet().stream()
+        transmissions.entrySet().stream()
             .sorted(Map.Entry.<HostId, Integer>comparingByValue().thenComparing(Map.Entry::getKey))
-            .limit(PER_MESSAGE)
+            .limit(MAX_UPDATES_PER_MESSAGE)
             .map(Map.Entry::getKey)
             .toList();
     var updates = new ArrayList<Member>();
     for (HostId id : chosen) {
-      Member m = members.get(id);
-      if (m != null) {
-        updates.add(m);
+      Member member = members.get(id);
+      if (member != null) {
+        updates.add(member);
       }
-      sent.merge(id, 1, Integer::sum);
+      transmissions.merge(id, 1, Integer::sum);
     }
-    sent.values().removeIf(n -> n >= limit);
+    transmissions.values().removeIf(n -> n >= limit);
     updates.sort(Comparator.comparing(Member::id));
     return updates;
   }
--- a/decisions/src/main/java/dev/cactusstack/decisions/membership/package-info.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Agrees on which entry hosts are alive, after SWIM (Das, Gupta and Motivala, 2002): randomized
- * probing, indirect probes, suspicion with refutation, and updates carried on probe messages.
+ * Group membership of the entry hosts, based on SWIM (Das, Gupta and Motivala, 2002): randomized
+ * probing, indirect probes, suspicion with refutation, and updates piggybacked on probe messages.
  */
 @NullMarked
 package dev.cactusstack.decisions.membership;
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptOutcome.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptOutcome.java
@@ -2,25 +2,30 @@
 
 import java.util.Locale;
 
-/** How an attempt to run a request on an upstream ended. Thread-safe. */
+/**
+ * How an attempt to run a request on an upstream ended.
+ *
+ * <p>Outcomes are sent by position, and their names appear in logs and metrics. Immutable and
+ * thread-safe.
+ */
 public enum AttemptOutcome {
-  /** A whole answer that isn't a server error. */
+  /** A complete response that is not a server error. */
   ANSWERED(false, false),
-  /** A whole answer with a server error; the request ran. */
+  /** A complete response with a server error; the request ran. */
   FAILED(false, true),
-  /** The upstream said that it did not run the request. */
+  /** The upstream reported that it did not run the request. */
   REFUSED(true, true),
-  /** Another upstream has the address; it did not run the request. */
+  /** Another upstream instance now has the address; it did not run the request. */
   WRONG_INSTANCE(true, true),
-  /** No connection could be made; nothing was sent. */
+  /** No connection could be established; nothing was sent. */
   UNREACHABLE(true, true),
-  /** The connection ended, or what came was no answer; the request may have run. */
+  /** The connection was lost or the response was invalid; the request may have run. */
   BROKEN(false, true),
-  /** No answer came in time; the request may have run. */
+  /** No response arrived in time; the request may have run. */
   TIMED_OUT(false, true),
-  /** The caller left or another attempt was faster. */
+  /** The caller disconnected, or another attempt responded first. */
   ABANDONED(false, false),
-  /** The place was not used; nothing was sent. */
+  /** The assigned slot was not used; nothing was sent. */
   UNUSED(true, false);
 
   private final boolean provesNotRun;
@@ -32,27 +37,27 @@
   }
 
   /**
-   * Returns the word for metrics.
+   * Returns the label for metrics.
    *
-   * @return lower case with hyphens
+   * @return the name in lower case with hyphens
    */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
   /**
-   * Tells whether this end proves that the request did not run and never will.
+   * Checks whether this outcome proves that the request did not run and never will.
    *
-   * @return true when the request can be sent again whatever its kind
+   * @return true if the request can be retried even if it is not idempotent
    */
   public boolean provesNotRun() {
     return provesNotRun;
   }
 
   /**
-   * Tells whether this end speaks against the upstream.
+   * Checks whether this outcome counts as a fault of the upstream.
    *
-   * @return true for a fault of the upstream or of the way to it
+   * @return true for a fault of the upstream or of the network path to it
    */
   public boolean upstreamFault() {
     return upstreamFault;
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptReport.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/AttemptReport.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * The end of an attempt that an ask led to. Immutable and thread-safe.
+ * Reports how an attempt on an assigned slot ended. Immutable and thread-safe.
  *
- * @param key the ask
+ * @param key the placement request that the slot was assigned to
  * @param upstreamId the upstream's identity
  * @param outcome how the attempt ended
- * @param durationMs from sending to the end, in milliseconds
- * @param load what the upstream said of its load
+ * @param durationMs time from sending the request to the end of the attempt, in milliseconds
+ * @param load the load that the upstream reported with its response, if any
  */
 public record AttemptReport(
     PlacementKey key,
@@ -21,8 +21,8 @@
   /** Checks the components. */
   public AttemptReport {
     Objects.requireNonNull(key, "key is null");
-    Objects.requireNonNull(upstreamId, "upstream is null");
-    Objects.requireNonNull(outcome, "end is null");
+    Objects.requireNonNull(upstreamId, "upstreamId is null");
+    Objects.requireNonNull(outcome, "outcome is null");
     Objects.requireNonNull(load, "load is null");
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementDecision.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementDecision.java
@@ -2,35 +2,36 @@
 
 import dev.cactusstack.model.site.UpstreamEntry;
 
-/** What was decided about an ask. Implementations are immutable. */
+/** A scheduler's decision on a placement request. Implementations are immutable. */
 public sealed interface PlacementDecision {
   /**
-   * Returns the ask that this is about.
+   * Returns the placement request that this decision applies to.
    *
-   * @return its key
+   * @return the key of the placement request
    */
   PlacementKey key();
 
   /**
-   * The request may be sent to an upstream now; one of its slots is held until a report.
+   * The request can be sent to an upstream now. A slot of the upstream is held until the attempt is
+   * reported.
    *
-   * @param key the ask
-   * @param upstream where to send the request
+   * @param key the placement request
+   * @param upstream the upstream to send the request to
    */
   record Placed(PlacementKey key, UpstreamEntry upstream) implements PlacementDecision {}
 
   /**
-   * The request can't be served in time.
+   * The request cannot be served in time.
    *
-   * @param key the ask
-   * @param retryAfterMs when there is likely to be room, in milliseconds from now
+   * @param key the placement request
+   * @param retryAfterMs time until capacity is likely to be available, in milliseconds
    */
   record Rejected(PlacementKey key, long retryAfterMs) implements PlacementDecision {}
 
   /**
-   * The request waits for a slot; a later verdict follows.
+   * The request is queued for a slot; another decision follows.
    *
-   * @param key the ask
+   * @param key the placement request
    */
   record Queued(PlacementKey key) implements PlacementDecision {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementKey.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementKey.java
@@ -1,9 +1,9 @@
 package dev.cactusstack.decisions.placing;
 
 /**
- * Identifies an ask among all hosts. Immutable and thread-safe.
+ * Identifies a placement request across all hosts. Immutable and thread-safe.
  *
- * @param hostHash hash of the asking host's name
- * @param sequenceNumber number that the asking host gave it
+ * @param hostHash hash of the requesting host's name
+ * @param sequenceNumber number that the requesting host assigned to it
  */
 public record PlacementKey(int hostHash, long sequenceNumber) {}
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementRequest.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementRequest.java
@@ -4,20 +4,21 @@
 import java.util.Set;
 
 /**
- * A request that wants an upstream. Immutable and thread-safe.
+ * A host's request for an upstream slot on which to run a caller's request. Immutable and
+ * thread-safe.
  *
- * @param key identifies the ask
- * @param dataCentre the data centre of the asking host
- * @param route the name of the request's route
- * @param priority rank of the route, 0 first
+ * @param key identifies the placement request
+ * @param dataCentre the data centre of the requesting host
+ * @param route the name of the route that the caller's request matched
+ * @param priority the priority of the route; 0 is the highest
  * @param latencyObjectiveMs the route's latency objective, in milliseconds
- * @param objectiveRemainingMs time left until the caller's objective is missed, in milliseconds, 0
- *     if it is
- * @param deadlineRemainingMs time left until the request must have its answer, in milliseconds
- * @param bodyBytes size of its body
- * @param hedge whether it is a second attempt beside a running one, which never waits and takes
- *     only a slot that nobody waits for
- * @param excludedUpstreams upstreams that must not be chosen
+ * @param objectiveRemainingMs time left to meet the latency objective, in milliseconds; 0 if it was
+ *     missed
+ * @param deadlineRemainingMs time left until the deadline of the caller's request, in milliseconds
+ * @param bodyBytes the size of the request body
+ * @param hedge whether this is a hedge, that is, a second attempt alongside a running one; a hedge
+ *     is never queued and only takes a slot that no queued request needs
+ * @param excludedUpstreams identities of the upstreams that must not be chosen
  */
 public record PlacementRequest(
     PlacementKey key,
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/ProcessingTimes.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/ProcessingTimes.java
@@ -4,38 +4,42 @@
 import java.util.Map;
 
 /**
- * How long the requests of each route take on an undisturbed upstream: an exponentially weighted
- * mean of answer times divided by the pace that came with them. Confined to one thread.
+ * Estimates the processing time of each route's requests on an undisturbed upstream.
+ *
+ * <p>The estimate is an exponentially weighted mean of response times, each divided by the slowdown
+ * that the upstream reported with it. Confined to one thread.
  */
 public final class ProcessingTimes {
-  private static final double STEP = 0.05;
-  private static final double FIRST_GUESS_OF_OBJECTIVE = 0.3;
+  private static final double SMOOTHING = 0.05;
+  private static final double INITIAL_SHARE_OF_OBJECTIVE = 0.3;
 
-  private final Map<String, Double> means = new HashMap<>();
+  private final Map<String, Double> meansMs = new HashMap<>();
 
   /**
-   * Returns the usual answer time of a route.
+   * Returns the estimated processing time of a route.
    *
    * @param route the route's name
-   * @param objectiveMs its latency objective, in milliseconds
-   * @return milliseconds on an undisturbed upstream
+   * @param latencyObjectiveMs the latency objective of the route, in milliseconds; the first
+   *     estimate is a share of it
+   * @return the processing time on an undisturbed upstream, in milliseconds
    */
-  public double estimateMs(String route, long objectiveMs) {
-    Double mean = means.get(route);
-    return mean != null ? mean : Math.max(1, objectiveMs * FIRST_GUESS_OF_OBJECTIVE);
+  public double estimateMs(String route, long latencyObjectiveMs) {
+    Double mean = meansMs.get(route);
+    return mean != null ? mean : Math.max(1, latencyObjectiveMs * INITIAL_SHARE_OF_OBJECTIVE);
   }
 
   /**
-   * Takes in an answer.
+   * Updates the estimate of a route with a response.
    *
    * @param route the route's name
-   * @param objectiveMs its latency objective, in milliseconds
-   * @param ms how long the answer took, in milliseconds
-   * @param pace how much longer than usual work takes on the upstream
+   * @param latencyObjectiveMs the latency objective of the route, in milliseconds
+   * @param durationMs the response time, in milliseconds
+   * @param slowdown the slowdown factor of the upstream
    */
-  public void recordResponse(String route, long objectiveMs, double ms, double pace) {
-    double usual = ms / Math.max(1, pace);
-    double mean = estimateMs(route, objectiveMs);
-    means.put(route, mean + (usual - mean) * STEP);
+  public void recordResponse(
+      String route, long latencyObjectiveMs, double durationMs, double slowdown) {
+    double undisturbedMs = durationMs / Math.max(1, slowdown);
+    double mean = estimateMs(route, latencyObjectiveMs);
+    meansMs.put(route, mean + (undisturbedMs - mean) * SMOOTHING);
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/ReportedLoad.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/ReportedLoad.java
@@ -1,21 +1,22 @@
 package dev.cactusstack.decisions.placing;
 
 /**
- * What an upstream says of its load. Immutable and thread-safe.
+ * The load that an upstream reports about itself. Immutable and thread-safe.
  *
- * @param running requests running
- * @param waiting requests waiting for a slot
- * @param slots requests that can run at the same time
- * @param slowdownPercent how long work takes at the moment, 100 as usual
+ * @param running the number of running requests
+ * @param waiting the number of requests waiting for a slot
+ * @param slots the number of requests that can run concurrently
+ * @param slowdownPercent the current processing time relative to an undisturbed upstream, in
+ *     percent; 100 means no slowdown
  */
 public record ReportedLoad(int running, int waiting, int slots, int slowdownPercent) {
-  /** How long work takes on an undisturbed upstream, in percent. */
+  /** The slowdown of an undisturbed upstream, in percent. */
   public static final int NORMAL_SLOWDOWN_PERCENT = 100;
 
   /**
-   * Returns how much longer than usual work takes.
+   * Returns the factor by which processing is slower than on an undisturbed upstream.
    *
-   * @return 1 as usual
+   * @return the slowdown factor; 1 means no slowdown
    */
   public double slowdown() {
     return slowdownPercent / (double) NORMAL_SLOWDOWN_PERCENT;
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
@@ -14,377 +14,412 @@
 /**
  * Places the requests of one service on its upstreams.
  *
- * <p>A request goes to the upstream with a free slot where its answer is expected first. While no
- * free slot would let it meet its objective it waits here, not at an upstream, so that it takes
- * whichever good slot is free first. When more requests wait than can be on time, the oldest is
- * turned away at once; requests that can't be on time get what the others leave.
+ * <p>A request is placed on the upstream with a free slot that has the lowest expected response
+ * time. While no free slot would let it meet its latency objective, it is queued here rather than
+ * at an upstream, so that it gets the first suitable slot of any upstream. If more requests are
+ * queued than can meet their objective, the oldest is rejected immediately. Requests that can no
+ * longer meet their objective get only the slots that the others do not need.
  *
  * <p>Invariant: no upstream holds more requests of this scheduler than it has slots. Confined to
  * one thread.
  */
 public final class Scheduler {
-  private static final long FRESH_MS = 150;
-  private static final double ASK_RATE_MEMORY_MS = 1_000;
-  private static final double MEAN_PACE_STEP = 0.05;
-  private static final long LONGEST_HOLD_MS = 10_000;
-  private static final double NO_UPSTREAM_MS = 300;
-  private static final double ON_TIME_SLACK = 1.2;
-  private static final double WAIT_SHARE = 0.4;
+  private static final long LOAD_FRESHNESS_MS = 150;
+  private static final double ARRIVAL_RATE_DECAY_MS = 1_000;
+  private static final double MEAN_SLOWDOWN_SMOOTHING = 0.05;
+  private static final long MAX_SLOT_HOLD_MS = 10_000;
+  private static final double NO_UPSTREAM_RETRY_AFTER_MS = 300;
+  private static final double ON_TIME_SAFETY_FACTOR = 1.2;
+  private static final double MAX_WAIT_SHARE_OF_DEADLINE = 0.4;
 
   private final SchedulerSettings settings;
   private final Map<String, UpstreamLoad> loads = new HashMap<>();
-  private final Map<PlacementKey, Held> held = new HashMap<>();
-  private final WaitingLine line = new WaitingLine();
-  private final ProcessingTimes workTimes = new ProcessingTimes();
-  private final Expectation expectation;
-  private final ReturnTimes returnTimes = new ReturnTimes();
-  private double meanPace = 1.3;
-  private int coldBound;
-  private double askRate;
-  private long askRateAtMs;
+  private final Map<PlacementKey, PlacedRequest> placedRequests = new HashMap<>();
+  private final RequestQueue queue = new RequestQueue();
+  private final ProcessingTimes processingTimes = new ProcessingTimes();
+  private final ResponseTimeEstimator responseTimeEstimator;
+  private final RetryAfterSchedule retryAfterSchedule = new RetryAfterSchedule();
+  private double meanSlowdown = 1.3;
+  private int warmupLimit;
+  private double arrivalRate;
+  private long arrivalRateAtMs;
 
   /**
-   * Creates a scheduler that knows no upstreams.
+   * Creates a scheduler without upstreams.
    *
-   * @param settings what to go by
+   * @param settings the cost model and warm-up limits
    */
   public Scheduler(SchedulerSettings settings) {
     this.settings = settings;
-    this.expectation = new Expectation(settings, workTimes);
+    this.responseTimeEstimator = new ResponseTimeEstimator(settings, processingTimes);
   }
 
   /**
-   * Takes over which upstreams may get work.
+   * Replaces the set of upstreams that can receive requests.
    *
-   * @param rule what operators say of the service
-   * @param usable the upstreams that may get work
-   * @param nowMs the present time on a steady clock, in milliseconds
+   * @param serviceSettings the operators' settings for the service
+   * @param usable the upstreams that can receive requests
+   * @param nowMs the current time on a monotonic clock, in milliseconds
    */
-  public void updateUpstreams(ServiceRule rule, Collection<UpstreamEntry> usable, long nowMs) {
-    coldBound = settings.warmupRequestLimit(rule.coldPerSecond());
-    Map<String, UpstreamLoad> kept = new HashMap<>();
-    for (UpstreamEntry e : usable) {
-      UpstreamLoad load = loads.get(e.id());
+  public void updateUpstreams(
+      ServiceRule serviceSettings, Collection<UpstreamEntry> usable, long nowMs) {
+    warmupLimit = settings.warmupRequestLimit(serviceSettings.coldPerSecond());
+    Map<String, UpstreamLoad> nextLoads = new HashMap<>();
+    for (UpstreamEntry usableUpstream : usable) {
+      UpstreamLoad load = loads.get(usableUpstream.id());
       if (load == null) {
-        load = new UpstreamLoad(e, nowMs);
+        load = new UpstreamLoad(usableUpstream, nowMs);
       } else {
-        load.announce(e, nowMs);
+        load.updateRegistration(usableUpstream, nowMs);
       }
-      kept.put(e.id(), load);
+      nextLoads.put(usableUpstream.id(), load);
     }
     loads.clear();
-    loads.putAll(kept);
+    loads.putAll(nextLoads);
   }
 
   /**
-   * Decides about a request. An ask that was decided already, and comes again because its answer
-   * got lost, gets the same answer.
+   * Places, queues or rejects a request. A request that is submitted again, because the decision
+   * was lost on its way to the host, gets the same decision.
    *
-   * @param ask the request
-   * @param nowMs the present time on the same clock
-   * @return a place, a wait, or a refusal; a refusal of another request that waited may come along
+   * @param request the request
+   * @param nowMs the current time on the same clock
+   * @return the decision on the request; a rejection of another, queued request may follow it
    */
-  public List<PlacementDecision> submit(PlacementRequest ask, long nowMs) {
-    Optional<PlacementDecision> known = decided(ask.key());
-    if (known.isPresent()) {
-      return List.of(known.get());
+  public List<PlacementDecision> submit(PlacementRequest request, long nowMs) {
+    Optional<PlacementDecision> existing = findDecision(request.key());
+    if (existing.isPresent()) {
+      return List.of(existing.get());
     }
-    askRate = askRate(nowMs) + 1 / ASK_RATE_MEMORY_MS;
-    askRateAtMs = nowMs;
-    if (ask.hedge()) {
-      return List.of(spare(ask, nowMs));
+    arrivalRate = arrivalRate(nowMs) + 1 / ARRIVAL_RATE_DECAY_MS;
+    arrivalRateAtMs = nowMs;
+    if (request.hedge()) {
+      return List.of(placeHedge(request, nowMs));
     }
-    if (loads.values().stream().allMatch(l -> ask.excludedUpstreams().contains(l.entry().id()))) {
-      return List.of(turnAway(ask, NO_UPSTREAM_MS, nowMs));
+    if (loads.values().stream()
+        .allMatch(upstream -> request.excludedUpstreams().contains(upstream.registration().id()))) {
+      return List.of(reject(request, NO_UPSTREAM_RETRY_AFTER_MS, nowMs));
     }
-    var newcomer = new WaitingLine.Waiting(ask, nowMs, 0);
-    Optional<PlacementDecision> place = tryPlace(newcomer, nowMs);
-    if (place.isPresent()) {
-      return List.of(place.get());
+    var candidate = new RequestQueue.QueuedRequest(request, nowMs, 0);
+    Optional<PlacementDecision> placement = tryPlace(candidate, nowMs);
+    if (placement.isPresent()) {
+      return List.of(placement.get());
     }
-    if (onTime(newcomer, nowMs)) {
-      return waitOnTime(ask, nowMs);
+    if (canMeetObjective(candidate, nowMs)) {
+      return enqueueOnTime(request, nowMs);
     }
-    if (overloaded(nowMs) || expectedWaitMs(ask) > longestWaitMs(ask)) {
-      return List.of(turnAway(ask, 0, nowMs));
+    if (isOverloaded(nowMs) || expectedWaitMs(request) > maxWaitMs(request)) {
+      return List.of(reject(request, 0, nowMs));
     }
-    line.add(ask, nowMs);
-    return List.of(new PlacementDecision.Queued(ask.key()));
+    queue.add(request, nowMs);
+    return List.of(new PlacementDecision.Queued(request.key()));
   }
 
-  private Optional<PlacementDecision> decided(PlacementKey key) {
-    Held h = held.get(key);
-    UpstreamLoad load = h == null ? null : loads.get(h.upstream());
+  private Optional<PlacementDecision> findDecision(PlacementKey key) {
+    PlacedRequest placed = placedRequests.get(key);
+    UpstreamLoad load = placed == null ? null : loads.get(placed.upstreamId());
     if (load != null) {
-      return Optional.of(new PlacementDecision.Placed(key, load.entry()));
+      return Optional.of(new PlacementDecision.Placed(key, load.registration()));
     }
-    return line.count(w -> w.ask().key().equals(key)) > 0
+    return queue.count(queued -> queued.request().key().equals(key)) > 0
         ? Optional.of(new PlacementDecision.Queued(key))
         : Optional.empty();
   }
 
   /**
-   * Places a second attempt if a slot is left over. Under high load it would take the slot of a
-   * request that has none.
+   * Places a hedge if a slot is free and no request is queued. Under high load a hedge would take
+   * the slot of a request that has none.
    */
-  private PlacementDecision spare(PlacementRequest ask, long nowMs) {
-    Optional<PlacementDecision> place =
-        line.size() > 0
+  private PlacementDecision placeHedge(PlacementRequest request, long nowMs) {
+    Optional<PlacementDecision> placement =
+        queue.size() > 0
             ? Optional.empty()
-            : tryPlace(new WaitingLine.Waiting(ask, nowMs, 0), nowMs);
-    return place.orElseGet(() -> new PlacementDecision.Rejected(ask.key(), 0));
+            : tryPlace(new RequestQueue.QueuedRequest(request, nowMs, 0), nowMs);
+    return placement.orElseGet(() -> new PlacementDecision.Rejected(request.key(), 0));
   }
 
-  /** Lets a request wait that can be on time, in place of the oldest if too many wait. */
-  private List<PlacementDecision> waitOnTime(PlacementRequest ask, long nowMs) {
-    line.add(ask, nowMs);
-    List<PlacementDecision> out = new ArrayList<>();
-    out.add(new PlacementDecision.Queued(ask.key()));
-    if (line.count(w -> onTime(w, nowMs)) > mostOnTime(ask)) {
-      line.takeLast(w -> onTime(w, nowMs)).ifPresent(w -> out.add(turnAway(w.ask(), 0, nowMs)));
+  /** Queues a request that can meet its objective and rejects the oldest if too many are queued. */
+  private List<PlacementDecision> enqueueOnTime(PlacementRequest request, long nowMs) {
+    queue.add(request, nowMs);
+    List<PlacementDecision> decisions = new ArrayList<>();
+    decisions.add(new PlacementDecision.Queued(request.key()));
+    if (queue.count(queued -> canMeetObjective(queued, nowMs)) > maxOnTimeRequests(request)) {
+      queue
+          .removeLast(queued -> canMeetObjective(queued, nowMs))
+          .ifPresent(queued -> decisions.add(reject(queued.request(), 0, nowMs)));
     }
-    return out;
+    return decisions;
   }
 
-  /** How many requests can get a slot while the newest of them can still be on time. */
-  private double mostOnTime(PlacementRequest ask) {
-    double wait = Math.max(0, ask.objectiveRemainingMs() - expectation.workMs(ask) * ON_TIME_SLACK);
-    return 1 + wait / eachMs(ask);
+  /** Returns how many requests can get a slot before the newest of them misses its objective. */
+  private double maxOnTimeRequests(PlacementRequest request) {
+    double maxWait =
+        Math.max(
+            0,
+            request.objectiveRemainingMs()
+                - responseTimeEstimator.processingMs(request) * ON_TIME_SAFETY_FACTOR);
+    return 1 + maxWait / serviceIntervalMs(request);
   }
 
   /**
-   * Takes in the end of an attempt, which frees a slot. The same end may be told more than once.
+   * Records the end of an attempt, which releases its slot. The same attempt may be reported more
+   * than once.
    *
-   * @param r the end
-   * @param nowMs the present time on the same clock
-   * @return places for requests that waited
+   * @param attempt how the attempt ended
+   * @param nowMs the current time on the same clock
+   * @return decisions on queued requests that were placed
    */
-  public List<PlacementDecision> report(AttemptReport r, long nowMs) {
-    Held h = held.remove(r.key());
-    if (h == null) {
+  public List<PlacementDecision> report(AttemptReport attempt, long nowMs) {
+    PlacedRequest placed = placedRequests.remove(attempt.key());
+    if (placed == null) {
       return List.of();
     }
-    UpstreamLoad load = loads.get(r.upstreamId());
+    UpstreamLoad load = loads.get(attempt.upstreamId());
     if (load != null) {
-      load.ended(r, nowMs);
+      load.recordAttempt(attempt, nowMs);
     }
-    if (r.outcome() == AttemptOutcome.ANSWERED && r.load().isPresent()) {
-      learnMeanPace(r.load().get());
-      workTimes.recordResponse(
-          h.ask.route(), h.ask.latencyObjectiveMs(), r.durationMs(), r.load().get().slowdown());
+    if (attempt.outcome() == AttemptOutcome.ANSWERED && attempt.load().isPresent()) {
+      updateMeanSlowdown(attempt.load().get());
+      processingTimes.recordResponse(
+          placed.request.route(),
+          placed.request.latencyObjectiveMs(),
+          attempt.durationMs(),
+          attempt.load().get().slowdown());
     }
-    return fill(nowMs);
+    return placeQueued(nowMs);
   }
 
   /**
-   * Chooses upstreams to probe: those with room of which nothing was heard lately, while those
-   * known to be good are fewer than the requests that come before news of them does (after Prequal,
-   * 2024: probes ahead of the requests that need them).
+   * Selects upstreams to probe: those with free slots and no recent load report, as long as fewer
+   * upstreams are known to be good than requests are expected until the next report arrives. Probes
+   * are sent ahead of the requests that need them, as in Prequal (2024).
    *
-   * @param nowMs the present time on the same clock
-   * @return upstreams to probe now, those heard of least lately first
+   * @param nowMs the current time on the same clock
+   * @return the upstreams to probe now, those with the oldest report first
    */
   public List<UpstreamEntry> selectProbeTargets(long nowMs) {
     List<UpstreamLoad> stale = new ArrayList<>();
     int good = 0;
-    for (UpstreamLoad l : loads.values()) {
-      if (l.knownGood(FRESH_MS, nowMs) && l.free(nowMs)) {
+    for (UpstreamLoad upstream : loads.values()) {
+      if (upstream.isKnownGood(LOAD_FRESHNESS_MS, nowMs) && upstream.hasFreeSlot(nowMs)) {
         good++;
-      } else if (probeHelps(l, nowMs)) {
-        stale.add(l);
+      } else if (isProbeUseful(upstream, nowMs)) {
+        stale.add(upstream);
       }
     }
-    int wanted = (int) Math.ceil(askRate(nowMs) * FRESH_MS) - good;
-    stale.sort(Comparator.comparingLong(l -> -l.paceAgeMs(nowMs)));
-    List<UpstreamEntry> out = new ArrayList<>();
-    for (UpstreamLoad l : stale.subList(0, Math.max(0, Math.min(wanted, stale.size())))) {
-      l.probeSent(nowMs);
-      out.add(l.entry());
+    int wanted = (int) Math.ceil(arrivalRate(nowMs) * LOAD_FRESHNESS_MS) - good;
+    stale.sort(Comparator.comparingLong(upstream -> -upstream.slowdownAgeMs(nowMs)));
+    List<UpstreamEntry> targets = new ArrayList<>();
+    for (UpstreamLoad upstream : stale.subList(0, Math.max(0, Math.min(wanted, stale.size())))) {
+      upstream.recordProbeSent(nowMs);
+      targets.add(upstream.registration());
     }
-    return out;
+    return targets;
   }
 
-  private static boolean probeHelps(UpstreamLoad l, long nowMs) {
-    return l.paceAgeMs(nowMs) >= FRESH_MS
-        && l.sinceProbeMs(nowMs) >= FRESH_MS
-        && l.free(nowMs)
-        && !l.resting(nowMs)
-        && !l.cold(nowMs);
+  private static boolean isProbeUseful(UpstreamLoad upstream, long nowMs) {
+    return upstream.slowdownAgeMs(nowMs) >= LOAD_FRESHNESS_MS
+        && upstream.probeAgeMs(nowMs) >= LOAD_FRESHNESS_MS
+        && upstream.hasFreeSlot(nowMs)
+        && !upstream.isBackingOff(nowMs)
+        && !upstream.isCold(nowMs);
   }
 
-  /** Requests a millisecond, as an exponentially weighted mean. */
-  private double askRate(long nowMs) {
-    return askRate * Math.exp(-(nowMs - askRateAtMs) / ASK_RATE_MEMORY_MS);
+  /** Returns the exponentially weighted mean arrival rate, in requests per millisecond. */
+  private double arrivalRate(long nowMs) {
+    return arrivalRate * Math.exp(-(nowMs - arrivalRateAtMs) / ARRIVAL_RATE_DECAY_MS);
   }
 
   /**
-   * Takes in an upstream's answer to a probe.
+   * Records an upstream's response to a probe.
    *
-   * @param upstream the upstream's identity
-   * @param figures what it says of its load
-   * @param nowMs the present time on the same clock
-   * @return places for requests that waited
+   * @param upstreamId the upstream's identity
+   * @param reportedLoad the load that the upstream reported
+   * @param nowMs the current time on the same clock
+   * @return decisions on queued requests that were placed
    */
   public List<PlacementDecision> recordProbeResponse(
-      String upstream, ReportedLoad figures, long nowMs) {
-    UpstreamLoad load = loads.get(upstream);
+      String upstreamId, ReportedLoad reportedLoad, long nowMs) {
+    UpstreamLoad load = loads.get(upstreamId);
     if (load != null) {
-      load.probed(figures, nowMs);
-      learnMeanPace(figures);
+      load.recordProbeResponse(reportedLoad, nowMs);
+      updateMeanSlowdown(reportedLoad);
     }
-    return fill(nowMs);
+    return placeQueued(nowMs);
   }
 
-  private void learnMeanPace(ReportedLoad figures) {
-    meanPace += (figures.slowdown() - meanPace) * MEAN_PACE_STEP;
+  private void updateMeanSlowdown(ReportedLoad reportedLoad) {
+    meanSlowdown += (reportedLoad.slowdown() - meanSlowdown) * MEAN_SLOWDOWN_SMOOTHING;
   }
 
   /**
-   * Forgets a request that no longer wants a place.
+   * Cancels a request: removes it from the queue and releases its slot.
    *
-   * @param key its ask
+   * @param key the key of the request
    */
   public void cancel(PlacementKey key) {
-    line.remove(key);
-    Held h = held.remove(key);
-    UpstreamLoad load = h == null ? null : loads.get(h.upstream());
+    queue.remove(key);
+    PlacedRequest placed = placedRequests.remove(key);
+    UpstreamLoad load = placed == null ? null : loads.get(placed.upstreamId());
     if (load != null) {
-      load.release(key);
+      load.releaseSlot(key);
     }
   }
 
   /**
-   * Places requests for which there is room by now, and turns away those that waited too long.
+   * Places queued requests for which a slot is now available and rejects those that have waited too
+   * long.
    *
-   * @param nowMs the present time on the same clock
+   * @param nowMs the current time on the same clock
    * @return the decisions
    */
   public List<PlacementDecision> tick(long nowMs) {
-    loads.values().forEach(l -> l.dropHoldsBefore(nowMs - LONGEST_HOLD_MS));
-    held.values().removeIf(h -> h.sinceMs < nowMs - LONGEST_HOLD_MS);
-    List<PlacementDecision> out = new ArrayList<>(fill(nowMs));
-    boolean overloaded = overloaded(nowMs);
-    List<WaitingLine.Waiting> hopeless =
-        line.takeAll(
-            w -> !onTime(w, nowMs) && (overloaded || w.waitedMs(nowMs) >= longestWaitMs(w.ask())));
-    hopeless.forEach(w -> out.add(turnAway(w.ask(), 0, nowMs)));
-    return out;
+    loads.values().forEach(upstream -> upstream.releaseSlotsHeldBefore(nowMs - MAX_SLOT_HOLD_MS));
+    placedRequests.values().removeIf(placed -> placed.placedAtMs < nowMs - MAX_SLOT_HOLD_MS);
+    List<PlacementDecision> decisions = new ArrayList<>(placeQueued(nowMs));
+    boolean overloaded = isOverloaded(nowMs);
+    List<RequestQueue.QueuedRequest> expired =
+        queue.removeAll(
+            queued ->
+                !canMeetObjective(queued, nowMs)
+                    && (overloaded || queued.waitedMs(nowMs) >= maxWaitMs(queued.request())));
+    expired.forEach(queued -> decisions.add(reject(queued.request(), 0, nowMs)));
+    return decisions;
   }
 
-  /** Tells whether requests that can be on time wait, so that others have no room. */
-  private boolean overloaded(long nowMs) {
-    return line.count(w -> onTime(w, nowMs)) > 0;
+  /**
+   * Checks whether requests are queued that can meet their objective, so that no slots are left for
+   * other requests.
+   */
+  private boolean isOverloaded(long nowMs) {
+    return queue.count(queued -> canMeetObjective(queued, nowMs)) > 0;
   }
 
-  private boolean onTime(WaitingLine.Waiting w, long nowMs) {
-    return w.onTimeMs(nowMs) >= expectation.workMs(w.ask()) * ON_TIME_SLACK;
+  private boolean canMeetObjective(RequestQueue.QueuedRequest queued, long nowMs) {
+    return queued.objectiveRemainingMs(nowMs)
+        >= responseTimeEstimator.processingMs(queued.request()) * ON_TIME_SAFETY_FACTOR;
   }
 
-  private static double longestWaitMs(PlacementRequest ask) {
-    return Math.min(ask.latencyObjectiveMs(), ask.deadlineRemainingMs() * WAIT_SHARE);
+  private static double maxWaitMs(PlacementRequest request) {
+    return Math.min(
+        request.latencyObjectiveMs(), request.deadlineRemainingMs() * MAX_WAIT_SHARE_OF_DEADLINE);
   }
 
-  private PlacementDecision turnAway(PlacementRequest ask, double aheadMs, long nowMs) {
-    double ahead = Math.max(aheadMs, expectedWaitMs(ask));
-    return new PlacementDecision.Rejected(ask.key(), returnTimes.next(ahead, eachMs(ask), nowMs));
+  private PlacementDecision reject(PlacementRequest request, double minQueuedWorkMs, long nowMs) {
+    double queuedWorkMs = Math.max(minQueuedWorkMs, expectedWaitMs(request));
+    return new PlacementDecision.Rejected(
+        request.key(),
+        retryAfterSchedule.nextRetryAfterMs(queuedWorkMs, serviceIntervalMs(request), nowMs));
   }
 
   /**
-   * Tells whether requests wait.
+   * Checks whether requests are queued.
    *
-   * @return true while a tick may have something to do soon
+   * @return true if {@link #tick} has to be called again soon
    */
   public boolean hasQueuedRequests() {
-    return line.size() > 0;
+    return queue.size() > 0;
   }
 
   /**
-   * Says what is known of an upstream, for a log line.
+   * Describes what the scheduler knows about an upstream, for a log line.
    *
-   * @param upstream the upstream's identity
-   * @param nowMs the present time on the same clock
-   * @return occupied slots, expected pace and the age of its report, faults, requests waiting
+   * @param upstreamId the upstream's identity
+   * @param nowMs the current time on the same clock
+   * @return the occupied slots, the expected slowdown and the age of its report, the fault rate and
+   *     the number of queued requests
    */
-  public String describeUpstream(String upstream, long nowMs) {
-    UpstreamLoad l = loads.get(upstream);
-    return l == null ? "unknown" : l.describe(meanPace, nowMs) + ",waiting=" + line.size();
+  public String describeUpstream(String upstreamId, long nowMs) {
+    UpstreamLoad upstream = loads.get(upstreamId);
+    return upstream == null
+        ? "unknown"
+        : upstream.describe(meanSlowdown, nowMs) + ",waiting=" + queue.size();
   }
 
-  private List<PlacementDecision> fill(long nowMs) {
-    if (line.size() == 0) {
+  private List<PlacementDecision> placeQueued(long nowMs) {
+    if (queue.size() == 0) {
       return List.of();
     }
-    List<PlacementDecision> out = new ArrayList<>();
-    for (WaitingLine.Waiting w : line.ordered(x -> onTime(x, nowMs))) {
-      tryPlace(w, nowMs)
+    List<PlacementDecision> decisions = new ArrayList<>();
+    for (RequestQueue.QueuedRequest queued :
+        queue.inServiceOrder(other -> canMeetObjective(other, nowMs))) {
+      tryPlace(queued, nowMs)
           .ifPresent(
-              v -> {
-                line.remove(w.ask().key());
-                out.add(v);
+              decision -> {
+                queue.remove(queued.request().key());
+                decisions.add(decision);
               });
     }
-    return out;
+    return decisions;
   }
 
   /**
-   * Places a request if a free slot is good for it: one on which it will be on time if it can be,
-   * else one on which it gets an answer at all.
+   * Places a request if a suitable slot is free: one on which it meets its latency objective or, if
+   * it can no longer meet that, one on which it is expected to finish before its deadline.
    */
-  private Optional<PlacementDecision> tryPlace(WaitingLine.Waiting w, long nowMs) {
-    Optional<UpstreamLoad> best = best(w.ask(), nowMs);
-    if (best.isEmpty()) {
+  private Optional<PlacementDecision> tryPlace(RequestQueue.QueuedRequest queued, long nowMs) {
+    Optional<UpstreamLoad> bestUpstream = findBestUpstream(queued.request(), nowMs);
+    if (bestUpstream.isEmpty()) {
       return Optional.empty();
     }
-    double expected = expectation.ms(best.get(), w.ask(), meanPace, nowMs);
-    double bound = onTime(w, nowMs) ? w.onTimeMs(nowMs) : w.leftMs(nowMs);
-    return expected <= bound ? Optional.of(place(w.ask(), best.get(), nowMs)) : Optional.empty();
+    double expectedMs =
+        responseTimeEstimator.responseMs(bestUpstream.get(), queued.request(), meanSlowdown, nowMs);
+    double limitMs =
+        canMeetObjective(queued, nowMs)
+            ? queued.objectiveRemainingMs(nowMs)
+            : queued.deadlineRemainingMs(nowMs);
+    return expectedMs <= limitMs
+        ? Optional.of(place(queued.request(), bestUpstream.get(), nowMs))
+        : Optional.empty();
   }
 
-  private PlacementDecision place(PlacementRequest ask, UpstreamLoad load, long nowMs) {
-    load.hold(ask.key(), expectation.workMs(ask), nowMs);
-    held.put(ask.key(), new Held(ask, load.entry().id(), nowMs));
-    return new PlacementDecision.Placed(ask.key(), load.entry());
+  private PlacementDecision place(PlacementRequest request, UpstreamLoad load, long nowMs) {
+    load.holdSlot(request.key(), responseTimeEstimator.processingMs(request), nowMs);
+    placedRequests.put(request.key(), new PlacedRequest(request, load.registration().id(), nowMs));
+    return new PlacementDecision.Placed(request.key(), load.registration());
   }
 
-  private Optional<UpstreamLoad> best(PlacementRequest ask, long nowMs) {
+  private Optional<UpstreamLoad> findBestUpstream(PlacementRequest request, long nowMs) {
     UpstreamLoad best = null;
     double bestMs = Double.MAX_VALUE;
-    boolean allRest = loads.values().stream().allMatch(l -> l.resting(nowMs));
-    for (UpstreamLoad l : loads.values()) {
-      if (!eligible(l, ask.excludedUpstreams(), allRest, nowMs)) {
+    boolean allBackingOff =
+        loads.values().stream().allMatch(upstream -> upstream.isBackingOff(nowMs));
+    for (UpstreamLoad upstream : loads.values()) {
+      if (!isEligible(upstream, request.excludedUpstreams(), allBackingOff, nowMs)) {
         continue;
       }
-      double ms = expectation.ms(l, ask, meanPace, nowMs);
-      if (ms < bestMs) {
-        best = l;
-        bestMs = ms;
+      double responseMs = responseTimeEstimator.responseMs(upstream, request, meanSlowdown, nowMs);
+      if (responseMs < bestMs) {
+        best = upstream;
+        bestMs = responseMs;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private boolean eligible(UpstreamLoad l, Set<String> tried, boolean allRest, long nowMs) {
-    if (!l.free(nowMs) || tried.contains(l.entry().id())) {
+  private boolean isEligible(
+      UpstreamLoad upstream, Set<String> excluded, boolean allBackingOff, long nowMs) {
+    if (!upstream.hasFreeSlot(nowMs) || excluded.contains(upstream.registration().id())) {
       return false;
     }
-    if (l.cold(nowMs) && !l.coldAllows(coldBound, nowMs)) {
+    if (upstream.isCold(nowMs) && !upstream.warmupRateAllows(warmupLimit, nowMs)) {
       return false;
     }
-    if (allRest) {
+    if (allBackingOff) {
       return true;
     }
-    return !l.resting(nowMs) && (!l.onTrial() || l.idle());
+    return !upstream.isBackingOff(nowMs) && (!upstream.isOnTrial() || upstream.isIdle());
   }
 
-  private double expectedWaitMs(PlacementRequest ask) {
-    return (line.size() + 1) * eachMs(ask);
+  private double expectedWaitMs(PlacementRequest request) {
+    return (queue.size() + 1) * serviceIntervalMs(request);
   }
 
-  /** Time between two requests like this that the service can take. */
-  private double eachMs(PlacementRequest ask) {
-    int slots = loads.values().stream().mapToInt(l -> l.entry().slots()).sum();
-    return expectation.workMs(ask) * meanPace / Math.max(1, slots);
+  /** Returns the interval at which the service can take requests like this one. */
+  private double serviceIntervalMs(PlacementRequest request) {
+    int slots = loads.values().stream().mapToInt(upstream -> upstream.registration().slots()).sum();
+    return responseTimeEstimator.processingMs(request) * meanSlowdown / Math.max(1, slots);
   }
 
-  private record Held(PlacementRequest ask, String upstream, long sinceMs) {}
+  private record PlacedRequest(PlacementRequest request, String upstreamId, long placedAtMs) {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/SchedulerSettings.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/SchedulerSettings.java
@@ -1,15 +1,18 @@
 package dev.cactusstack.decisions.placing;
 
 /**
- * What a scheduler goes by. Immutable and thread-safe.
+ * The cost model and warm-up limits of a scheduler. Immutable and thread-safe.
  *
- * @param crossDataCentreRoundTripMs time that a round trip to another data centre takes, in
+ * @param crossDataCentreRoundTripMs duration of a round trip to another data centre, in
  *     milliseconds
- * @param crossDataCentreMsPerKb time that a KB of a body weighs when it goes to another data centre
- * @param connectCostMs time that making a connection weighs, in milliseconds, besides the way
- * @param warmupRateShare part of the bound on cold upstreams that one scheduler may use
- * @param warmupRateFactor factor on the rate that a cold upstream bears
- * @param warmupRateExtraPerSecond requests a second beyond that
+ * @param crossDataCentreMsPerKb cost of sending one KB of a request body to another data centre, in
+ *     milliseconds
+ * @param connectCostMs cost of establishing a connection, in milliseconds, in addition to the round
+ *     trip
+ * @param warmupRateShare share of the request rate limit of a cold upstream that one scheduler may
+ *     use
+ * @param warmupRateFactor factor on the request rate that a cold upstream can take
+ * @param warmupRateExtraPerSecond requests per second allowed on top of that
  */
 public record SchedulerSettings(
     double crossDataCentreRoundTripMs,
@@ -18,9 +21,11 @@
     double warmupRateShare,
     double warmupRateFactor,
     double warmupRateExtraPerSecond) {
-  /** Requests that one scheduler may send to a cold upstream in a second. */
-  int warmupRequestLimit(double coldPerSecond) {
+  /** Returns how many requests per second one scheduler may send to a cold upstream. */
+  int warmupRequestLimit(double warmupRequestsPerSecond) {
     return (int)
-        Math.floor(warmupRateShare * (coldPerSecond * warmupRateFactor + warmupRateExtraPerSecond));
+        Math.floor(
+            warmupRateShare
+                * (warmupRequestsPerSecond * warmupRateFactor + warmupRateExtraPerSecond));
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
@@ -5,196 +5,207 @@
 import java.util.Map;
 
 /**
- * What a scheduler knows of one upstream: slots held, pace, faults.
+ * A scheduler's view of one upstream: held slots, slowdown and fault rate.
  *
- * <p>Pace is how much longer work takes than usual. A report of it loses weight with age, in favour
- * of the mean over all upstreams, because neighbours on the machine come and go. A held slot whose
- * request is overdue is evidence too.
+ * <p>The slowdown is the factor by which processing is slower than on an undisturbed upstream. The
+ * weight of a reported slowdown decays with its age in favour of the mean over all upstreams,
+ * because other workloads on the same machine start and stop. An overdue request on a held slot
+ * also indicates a slowdown.
  *
  * <p>Confined to one thread.
  */
 final class UpstreamLoad {
-  private static final double PACE_MEMORY_MS = 400;
-  private static final long MOST_AGE_MS = 1_000_000;
-  private static final double GOOD_PACE = 1.5;
-  private static final double FAULT_STEP = 0.35;
-  private static final double FAULT_LIMIT = 0.5;
-  private static final long REST_MS = 400;
-  private static final int MAX_REST_DOUBLINGS = 3;
+  private static final double SLOWDOWN_DECAY_MS = 400;
+  private static final long MAX_REPORTED_AGE_MS = 1_000_000;
+  private static final double GOOD_SLOWDOWN_LIMIT = 1.5;
+  private static final double FAULT_RATE_SMOOTHING = 0.35;
+  private static final double BACKOFF_FAULT_RATE = 0.5;
+  private static final long INITIAL_BACKOFF_MS = 400;
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
   private static final double OVERDUE_RATIO = 2.0;
-  private static final long CONNECTION_KEPT_MS = 5_000;
+  private static final long CONNECTION_REUSE_MS = 5_000;
 
-  private final Map<PlacementKey, Hold> holds = new HashMap<>();
-  private final Map<Integer, Long> usedBy = new HashMap<>();
-  private final ColdBound coldBound = new ColdBound();
-  private UpstreamEntry entry;
+  private final Map<PlacementKey, HeldSlot> heldSlots = new HashMap<>();
+  private final Map<Integer, Long> lastResponseByHost = new HashMap<>();
+  private final WarmupRateLimiter warmupRateLimiter = new WarmupRateLimiter();
+  private UpstreamEntry registration;
   private long coldUntilMs;
-  private double pace = 1;
-  private long paceAtMs = Long.MIN_VALUE / 2;
-  private int foreign;
-  private long foreignAtMs = Long.MIN_VALUE / 2;
-  private long probedAtMs = Long.MIN_VALUE / 2;
-  private double faults;
-  private int rests;
-  private long restUntilMs = Long.MIN_VALUE / 2;
-
-  UpstreamLoad(UpstreamEntry entry, long nowMs) {
-    this.entry = entry;
-    this.coldUntilMs = nowMs + entry.coldForMs();
-  }
-
-  UpstreamEntry entry() {
-    return entry;
-  }
-
-  void announce(UpstreamEntry e, long nowMs) {
-    if (!e.sameIncarnation(entry)) {
-      holds.clear();
-      usedBy.clear();
-      faults = 0;
-      rests = 0;
-      restUntilMs = nowMs;
+  private double reportedSlowdown = 1;
+  private long slowdownReportedAtMs = Long.MIN_VALUE / 2;
+  private int otherSlots;
+  private long otherSlotsReportedAtMs = Long.MIN_VALUE / 2;
+  private long lastProbeSentAtMs = Long.MIN_VALUE / 2;
+  private double faultRate;
+  private int consecutiveBackoffs;
+  private long backoffUntilMs = Long.MIN_VALUE / 2;
+
+  UpstreamLoad(UpstreamEntry registration, long nowMs) {
+    this.registration = registration;
+    this.coldUntilMs = nowMs + registration.coldForMs();
+  }
+
+  UpstreamEntry registration() {
+    return registration;
+  }
+
+  void updateRegistration(UpstreamEntry next, long nowMs) {
+    if (!next.sameIncarnation(registration)) {
+      heldSlots.clear();
+      lastResponseByHost.clear();
+      faultRate = 0;
+      consecutiveBackoffs = 0;
+      backoffUntilMs = nowMs;
     }
-    entry = e;
-    coldUntilMs = Math.max(coldUntilMs, nowMs + e.coldForMs());
+    registration = next;
+    coldUntilMs = Math.max(coldUntilMs, nowMs + next.coldForMs());
   }
 
-  boolean cold(long nowMs) {
+  boolean isCold(long nowMs) {
     return nowMs < coldUntilMs;
   }
 
-  boolean coldAllows(int bound, long nowMs) {
-    return coldBound.allows(bound, nowMs);
+  boolean warmupRateAllows(int limit, long nowMs) {
+    return warmupRateLimiter.allows(limit, nowMs);
   }
 
-  boolean free(long nowMs) {
-    return occupied(nowMs) < entry.slots();
+  boolean hasFreeSlot(long nowMs) {
+    return occupiedSlots(nowMs) < registration.slots();
   }
 
-  /** Slots taken: those held here, or more if the upstream has just said so. */
-  int occupied(long nowMs) {
-    boolean told = nowMs - foreignAtMs < PACE_MEMORY_MS / 2;
-    return holds.size() + (told ? foreign : 0);
+  /**
+   * Returns the number of occupied slots: those held by this scheduler, and those that a recent
+   * report of the upstream shows in addition.
+   */
+  int occupiedSlots(long nowMs) {
+    boolean recentlyReported = nowMs - otherSlotsReportedAtMs < SLOWDOWN_DECAY_MS / 2;
+    return heldSlots.size() + (recentlyReported ? otherSlots : 0);
   }
 
-  boolean resting(long nowMs) {
-    return nowMs < restUntilMs;
+  boolean isBackingOff(long nowMs) {
+    return nowMs < backoffUntilMs;
   }
 
-  /** After a rest one request at a time shows whether the upstream has recovered. */
-  boolean onTrial() {
-    return faults >= FAULT_LIMIT;
+  /**
+   * Checks whether the upstream gets only one request at a time, which after a backoff shows
+   * whether it has recovered.
+   */
+  boolean isOnTrial() {
+    return faultRate >= BACKOFF_FAULT_RATE;
   }
 
-  boolean idle() {
-    return holds.isEmpty();
+  boolean isIdle() {
+    return heldSlots.isEmpty();
   }
 
-  void hold(PlacementKey key, double expectedMs, long nowMs) {
-    holds.put(key, new Hold(nowMs, expectedMs));
-    usedBy.values().removeIf(at -> nowMs - at >= CONNECTION_KEPT_MS);
-    coldBound.count(nowMs);
+  void holdSlot(PlacementKey key, double expectedProcessingMs, long nowMs) {
+    heldSlots.put(key, new HeldSlot(nowMs, expectedProcessingMs));
+    lastResponseByHost
+        .values()
+        .removeIf(respondedAtMs -> nowMs - respondedAtMs >= CONNECTION_REUSE_MS);
+    warmupRateLimiter.recordRequest(nowMs);
   }
 
-  void release(PlacementKey key) {
-    holds.remove(key);
+  void releaseSlot(PlacementKey key) {
+    heldSlots.remove(key);
   }
 
-  /** Takes a report in. */
-  void ended(AttemptReport r, long nowMs) {
-    holds.remove(r.key());
-    if (r.outcome() == AttemptOutcome.ANSWERED) {
-      usedBy.put(r.key().hostHash(), nowMs);
+  /** Releases the slot of an attempt and updates the load and fault rate from its outcome. */
+  void recordAttempt(AttemptReport report, long nowMs) {
+    heldSlots.remove(report.key());
+    if (report.outcome() == AttemptOutcome.ANSWERED) {
+      lastResponseByHost.put(report.key().hostHash(), nowMs);
     }
-    r.load().ifPresent(l -> told(l, nowMs));
-    if (r.outcome().upstreamFault()) {
-      fault(nowMs);
-    } else if (r.outcome() == AttemptOutcome.ANSWERED) {
-      faults *= 1 - FAULT_STEP;
-      rests = faults < FAULT_LIMIT ? 0 : rests;
+    report.load().ifPresent(reported -> recordReportedLoad(reported, nowMs));
+    if (report.outcome().upstreamFault()) {
+      recordFault(nowMs);
+    } else if (report.outcome() == AttemptOutcome.ANSWERED) {
+      faultRate *= 1 - FAULT_RATE_SMOOTHING;
+      consecutiveBackoffs = faultRate < BACKOFF_FAULT_RATE ? 0 : consecutiveBackoffs;
     }
   }
 
-  /** Tells whether a host is likely to have a connection that it can use again. */
-  boolean connected(int host, long nowMs) {
-    Long at = usedBy.get(host);
-    return at != null && nowMs - at < CONNECTION_KEPT_MS;
+  /** Checks whether a host is likely to have a connection to the upstream that it can reuse. */
+  boolean hasReusableConnection(int hostHash, long nowMs) {
+    Long respondedAtMs = lastResponseByHost.get(hostHash);
+    return respondedAtMs != null && nowMs - respondedAtMs < CONNECTION_REUSE_MS;
   }
 
-  /** Takes in what the upstream answered to a probe. */
-  void probed(ReportedLoad l, long nowMs) {
-    told(l, nowMs);
+  /** Updates the load from a probe response. */
+  void recordProbeResponse(ReportedLoad reported, long nowMs) {
+    recordReportedLoad(reported, nowMs);
   }
 
-  void probeSent(long nowMs) {
-    probedAtMs = nowMs;
+  void recordProbeSent(long nowMs) {
+    lastProbeSentAtMs = nowMs;
   }
 
-  long sinceProbeMs(long nowMs) {
-    return nowMs - probedAtMs;
+  long probeAgeMs(long nowMs) {
+    return nowMs - lastProbeSentAtMs;
   }
 
-  /** Tells whether work on the upstream is known to take about as long as usual. */
-  boolean knownGood(long freshMs, long nowMs) {
-    return paceAgeMs(nowMs) < freshMs && pace < GOOD_PACE;
+  /** Checks whether a recent report shows little or no slowdown. */
+  boolean isKnownGood(long maxAgeMs, long nowMs) {
+    return slowdownAgeMs(nowMs) < maxAgeMs && reportedSlowdown < GOOD_SLOWDOWN_LIMIT;
   }
 
-  private void told(ReportedLoad l, long nowMs) {
-    pace = Math.max(0.1, l.slowdown());
-    paceAtMs = nowMs;
-    foreign = Math.max(0, l.running() + l.waiting() - holds.size());
-    foreignAtMs = nowMs;
+  private void recordReportedLoad(ReportedLoad reported, long nowMs) {
+    reportedSlowdown = Math.max(0.1, reported.slowdown());
+    slowdownReportedAtMs = nowMs;
+    otherSlots = Math.max(0, reported.running() + reported.waiting() - heldSlots.size());
+    otherSlotsReportedAtMs = nowMs;
   }
 
-  private void fault(long nowMs) {
-    faults += (1 - faults) * FAULT_STEP;
-    if (faults >= FAULT_LIMIT) {
-      restUntilMs = nowMs + (REST_MS << Math.min(rests, MAX_REST_DOUBLINGS));
-      rests++;
+  private void recordFault(long nowMs) {
+    faultRate += (1 - faultRate) * FAULT_RATE_SMOOTHING;
+    if (faultRate >= BACKOFF_FAULT_RATE) {
+      backoffUntilMs =
+          nowMs + (INITIAL_BACKOFF_MS << Math.min(consecutiveBackoffs, MAX_BACKOFF_DOUBLINGS));
+      consecutiveBackoffs++;
     }
   }
 
-  double faults() {
-    return faults;
+  double faultRate() {
+    return faultRate;
   }
 
-  /** How old the last report of the pace is; about forever before the first. */
-  long paceAgeMs(long nowMs) {
-    return Math.min(nowMs - paceAtMs, MOST_AGE_MS);
+  /** Returns the age of the last reported slowdown, capped; the cap if there is no report yet. */
+  long slowdownAgeMs(long nowMs) {
+    return Math.min(nowMs - slowdownReportedAtMs, MAX_REPORTED_AGE_MS);
   }
 
-  /** How much longer than usual work is expected to take now. */
-  double expectedPace(double meanPace, long nowMs) {
-    double weight = Math.exp(-Math.max(0, nowMs - paceAtMs) / PACE_MEMORY_MS);
-    return Math.max(pace * weight + meanPace * (1 - weight), overdue(nowMs));
+  /** Returns the slowdown expected now. */
+  double expectedSlowdown(double meanSlowdown, long nowMs) {
+    double weight = Math.exp(-Math.max(0, nowMs - slowdownReportedAtMs) / SLOWDOWN_DECAY_MS);
+    return Math.max(
+        reportedSlowdown * weight + meanSlowdown * (1 - weight), overdueSlowdown(nowMs));
   }
 
-  private double overdue(long nowMs) {
+  private double overdueSlowdown(long nowMs) {
     double worst = 0;
-    for (Hold h : holds.values()) {
-      double ratio = (nowMs - h.sinceMs) / Math.max(1, h.expectedMs);
+    for (HeldSlot slot : heldSlots.values()) {
+      double ratio = (nowMs - slot.heldSinceMs) / Math.max(1, slot.expectedProcessingMs);
       worst = Math.max(worst, ratio);
     }
     return worst >= OVERDUE_RATIO ? worst : 0;
   }
 
-  /** Says for a log line what is known. */
-  String describe(double meanPace, long nowMs) {
-    return occupied(nowMs)
+  /** Describes the upstream's load for a log line. */
+  String describe(double meanSlowdown, long nowMs) {
+    return occupiedSlots(nowMs)
         + "/"
-        + entry.slots()
+        + registration.slots()
         + ",pace="
-        + Math.round(expectedPace(meanPace, nowMs) * ReportedLoad.NORMAL_SLOWDOWN_PERCENT)
+        + Math.round(expectedSlowdown(meanSlowdown, nowMs) * ReportedLoad.NORMAL_SLOWDOWN_PERCENT)
         + ",age_ms="
-        + paceAgeMs(nowMs)
+        + slowdownAgeMs(nowMs)
         + ",faults="
-        + Math.round(faults * ReportedLoad.NORMAL_SLOWDOWN_PERCENT);
+        + Math.round(faultRate * ReportedLoad.NORMAL_SLOWDOWN_PERCENT);
   }
 
-  /** Frees slots whose report is not going to come. */
-  void dropHoldsBefore(long sinceMs) {
-    holds.values().removeIf(h -> h.sinceMs < sinceMs);
+  /** Releases slots that have been held so long that no report is expected any more. */
+  void releaseSlotsHeldBefore(long cutoffMs) {
+    heldSlots.values().removeIf(slot -> slot.heldSinceMs < cutoffMs);
   }
 
-  private record Hold(long sinceMs, double expectedMs) {}
+  private record HeldSlot(long heldSinceMs, double expectedProcessingMs) {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/package-info.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/package-info.java
@@ -1,4 +1,4 @@
-/** How requests wait for an upstream's slot, are turned away, and are placed. */
+/** Request scheduling: admission, queueing and placement of requests on upstream slots. */
 @NullMarked
 package dev.cactusstack.decisions.placing;
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/ChangePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/ChangePlan.java
@@ -13,10 +13,12 @@
 import java.util.stream.Stream;
 
 /**
- * A change of the table under one operation id. Implementations are immutable and thread-safe.
+ * A planned change of the table under one operation id. Implementations are immutable and
+ * thread-safe.
  *
- * <p>The rows of a commit carry the version each must still have. So once a row has another
- * version, an earlier commit of the same rows, whose answer was lost, can no longer take effect.
+ * <p>Each row of a commit carries the version that the row is expected to have. Once a row has
+ * another version, an earlier commit of the same rows whose response was lost can no longer take
+ * effect.
  */
 public interface ChangePlan {
 
@@ -28,28 +30,28 @@
   String operation();
 
   /**
-   * Checks the change against the table and computes the rows to commit.
+   * Validates the change against the table and computes the rows to commit.
    *
    * @param table the table as just read
-   * @return rows that carry the version each must still have; or an outcome that ends the change
+   * @return the rows to commit, with their expected versions, or an outcome that ends the change
    */
   Step nextStep(Table table);
 
   /**
-   * Finds out whether the operation is committed.
+   * Checks whether the operation is already committed.
    *
    * @param table the table as just read
-   * @return the version that contains it, if a row still remembers it
+   * @return the version that contains the operation, if a row still records it
    */
   OptionalLong appliedVersion(Table table);
 
-  /** What to do after a read of the table. */
+  /** The next step after reading the table. */
   sealed interface Step {
     /**
-     * Commit these rows.
+     * Commit rows.
      *
-     * @param routes rows that carry the version each must still have
-     * @param dataCentres rows that carry the version each must still have
+     * @param routes the route rows to write, with their expected versions
+     * @param dataCentres the data centre rows to write, with their expected versions
      */
     record Commit(List<Route> routes, List<DataCentreRow> dataCentres) implements Step {
       /** Copies the rows. */
@@ -59,77 +61,86 @@
       }
 
       /**
-       * Returns the rows as they are once committed.
+       * Returns the rows as they are after the commit.
        *
        * @param revision the revision that contains them
-       * @return a change that a table can merge
+       * @return a partial table that can be merged into the table
        */
       public Table committedAt(long revision) {
-        var r = new TreeMap<RouteKey, Route>();
-        routes.forEach(x -> r.put(x.key(), x.withVersion(revision)));
-        var d = new TreeMap<DataCentre, DataCentreRow>();
+        var committedRoutes = new TreeMap<RouteKey, Route>();
+        routes.forEach(row -> committedRoutes.put(row.key(), row.withVersion(revision)));
+        var committedDataCentres = new TreeMap<DataCentre, DataCentreRow>();
         dataCentres.forEach(
-            x ->
-                d.put(
-                    x.dataCentre(),
-                    new DataCentreRow(x.dataCentre(), x.out(), revision, x.operations())));
-        return new Table(revision, r, d);
+            row ->
+                committedDataCentres.put(
+                    row.dataCentre(),
+                    new DataCentreRow(row.dataCentre(), row.out(), revision, row.operations())));
+        return new Table(revision, committedRoutes, committedDataCentres);
       }
 
       /**
-       * Finds out what became of this commit when its answer was lost. All rows are written
-       * together or none is.
+       * Determines the status of this commit after its response was lost. The rows are committed
+       * atomically.
        *
-       * @param now the table as just read
-       * @return what the rows tell
+       * @param currentTable the table as just read
+       * @return the status that the rows show
        */
-      public CommitStatus statusIn(Table now) {
-        Objects.requireNonNull(now, "now is null");
+      public CommitStatus statusIn(Table currentTable) {
+        Objects.requireNonNull(currentTable, "currentTable is null");
         return Stream.concat(
                 routes.stream()
                     .map(
-                        r ->
-                            now.route(r.key())
+                        expectedRow ->
+                            currentTable
+                                .route(expectedRow.key())
                                 .map(
-                                    n ->
-                                        rowFate(
-                                            r.version(),
-                                            r.operations(),
-                                            n.version(),
-                                            n.operations()))
+                                    currentRow ->
+                                        rowStatus(
+                                            expectedRow.version(),
+                                            expectedRow.operations(),
+                                            currentRow.version(),
+                                            currentRow.operations()))
                                 .orElse(CommitStatus.UNKNOWN)),
                 dataCentres.stream()
                     .map(
-                        d -> {
-                          DataCentreRow n = now.dataCentres().get(d.dataCentre());
-                          return n == null
+                        expectedDataCentre -> {
+                          DataCentreRow currentRow =
+                              currentTable.dataCentres().get(expectedDataCentre.dataCentre());
+                          return currentRow == null
                               ? CommitStatus.UNKNOWN
-                              : rowFate(d.version(), d.operations(), n.version(), n.operations());
+                              : rowStatus(
+                                  expectedDataCentre.version(),
+                                  expectedDataCentre.operations(),
+                                  currentRow.version(),
+                                  currentRow.operations());
                         }))
             .reduce(CommitStatus::combine)
             .orElse(CommitStatus.UNKNOWN);
       }
 
-      private static CommitStatus rowFate(
-          long expected, List<String> written, long version, List<String> operations) {
-        if (version == expected) {
+      private static CommitStatus rowStatus(
+          long expectedVersion,
+          List<String> writtenOperations,
+          long currentVersion,
+          List<String> currentOperations) {
+        if (currentVersion == expectedVersion) {
           return CommitStatus.PENDING;
         }
-        if (operations.contains(written.get(0))) {
+        if (currentOperations.contains(writtenOperations.get(0))) {
           return CommitStatus.APPLIED;
         }
-        boolean remembersAll =
-            written.size() == 1
-                ? operations.size() < Route.OPERATIONS_KEPT
-                : operations.contains(written.get(1));
-        return remembersAll ? CommitStatus.NOT_APPLIED : CommitStatus.UNKNOWN;
+        boolean historyComplete =
+            writtenOperations.size() == 1
+                ? currentOperations.size() < Route.OPERATIONS_KEPT
+                : currentOperations.contains(writtenOperations.get(1));
+        return historyComplete ? CommitStatus.NOT_APPLIED : CommitStatus.UNKNOWN;
       }
     }
 
     /**
-     * Nothing is left to commit.
+     * Finish without a commit.
      *
-     * @param outcome what became of the change
+     * @param outcome the outcome of the change
      */
     record Done(EditOutcome outcome) implements Step {}
   }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/CommitStatus.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/CommitStatus.java
@@ -2,33 +2,38 @@
 
 import java.util.Objects;
 
-/** What a read tells of a commit whose answer was lost. Immutable and thread-safe. */
+/**
+ * The status of a commit whose response was lost, as determined by reading the table. Immutable and
+ * thread-safe.
+ */
 public enum CommitStatus {
-  /** It took effect. */
+  /** The commit took effect. */
   APPLIED,
-  /** It did not take effect, and cannot any more. */
+  /** The commit did not take effect and no longer can. */
   NOT_APPLIED,
-  /** It has not taken effect, but still can. */
+  /** The commit has not taken effect but still can. */
   PENDING,
-  /** The rows no longer tell. */
+  /** The rows no longer show whether the commit took effect. */
   UNKNOWN;
 
   /**
-   * Combines what two rows of one commit tell. A row that has not moved shows that the commit has
-   * not taken effect; one that has moved without it shows that it cannot.
+   * Combines the statuses derived from two rows of one commit. A row with an unchanged version
+   * shows that the commit has not taken effect; a row that was changed by another commit shows that
+   * it no longer can.
    *
-   * @param o what the other row tells
-   * @return what both tell together
+   * @param other the status derived from the other row
+   * @return the combined status
    */
-  public CommitStatus combine(CommitStatus o) {
-    Objects.requireNonNull(o, "o is null");
-    if (this == o) {
+  public CommitStatus combine(CommitStatus other) {
+    Objects.requireNonNull(other, "other is null");
+    if (this == other) {
       return this;
     }
-    if (this == APPLIED || o == APPLIED) {
+    if (this == APPLIED || other == APPLIED) {
       return APPLIED;
     }
-    // The two differ and neither is APPLIED: an unmoved row with a moved one, or proof with none.
+    // The two differ and neither is APPLIED: one row is unchanged and the other was changed by
+    // another commit, or only one of the rows shows that the commit did not take effect.
     return NOT_APPLIED;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
@@ -14,12 +14,12 @@
 import java.util.OptionalLong;
 
 /**
- * Takes a data centre out, or back in. Immutable and thread-safe.
+ * Takes a data centre out of service or back into service. Immutable and thread-safe.
  *
  * @param operation the operation's id
  * @param dataCentre the data centre
- * @param evacuated whether it is to be out
- * @param force whether it may be the last one of a service
+ * @param evacuated whether the data centre is to be taken out
+ * @param force whether it may be taken out even if it is the last data centre of a service
  */
 public record DataCentrePlan(
     String operation, DataCentre dataCentre, boolean evacuated, boolean force)
@@ -35,49 +35,52 @@
   public Step nextStep(Table table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     if (row == null) {
-      return refused(
+      return rejected(
           new Problem(
               ProblemKind.UNKNOWN_DATA_CENTRE,
               "there is no data centre " + dataCentre,
-              "take a name that 'cactusctl status' lists"));
+              "use a name listed by 'cactusctl status'"));
     }
-    OptionalLong applied = appliedVersion(table);
-    if (applied.isPresent()) {
-      return new Step.Done(new EditOutcome.Accepted(applied.getAsLong()));
+    OptionalLong alreadyApplied = appliedVersion(table);
+    if (alreadyApplied.isPresent()) {
+      return new Step.Done(new EditOutcome.Accepted(alreadyApplied.getAsLong()));
     }
     if (row.out() == evacuated) {
       return new Step.Done(new EditOutcome.Accepted(table.version()));
     }
-    Optional<Route> stranded = evacuated && !force ? lastRoute(table) : Optional.empty();
-    if (stranded.isPresent()) {
-      return refused(
+    Optional<Route> unservedRoute =
+        evacuated && !force ? findRouteWithoutAlternative(table) : Optional.empty();
+    if (unservedRoute.isPresent()) {
+      return rejected(
           Problem.invalid(
-              dataCentre + " is the last data centre of service " + stranded.get().key().service(),
-              "take another data centre in first, or add --force"));
+              dataCentre
+                  + " is the last data centre of service "
+                  + unservedRoute.get().key().service(),
+              "take another data centre back in first, or add --force"));
     }
-    var ids = new ArrayList<String>();
-    ids.add(operation);
-    ids.addAll(
+    var operationIds = new ArrayList<String>();
+    operationIds.add(operation);
+    operationIds.addAll(
         row.operations().subList(0, Math.min(row.operations().size(), Route.OPERATIONS_KEPT - 1)));
     return new Step.Commit(
-        List.of(), List.of(new DataCentreRow(dataCentre, evacuated, row.version(), ids)));
+        List.of(), List.of(new DataCentreRow(dataCentre, evacuated, row.version(), operationIds)));
   }
 
-  private static Step refused(Problem p) {
-    return new Step.Done(new EditOutcome.NotAccepted(p));
+  private static Step rejected(Problem problem) {
+    return new Step.Done(new EditOutcome.NotAccepted(problem));
   }
 
-  private Optional<Route> lastRoute(Table table) {
+  private Optional<Route> findRouteWithoutAlternative(Table table) {
     return table.routes().values().stream()
-        .filter(r -> r.key().dataCentre().equals(dataCentre) && r.weight() > 0)
+        .filter(route -> route.key().dataCentre().equals(dataCentre) && route.weight() > 0)
         .filter(
-            r ->
-                table.routesOf(r.key().service()).stream()
+            route ->
+                table.routesOf(route.key().service()).stream()
                     .noneMatch(
-                        o ->
-                            !o.key().dataCentre().equals(dataCentre)
-                                && o.weight() > 0
-                                && !table.isOut(o.key().dataCentre())))
+                        other ->
+                            !other.key().dataCentre().equals(dataCentre)
+                                && other.weight() > 0
+                                && !table.isOut(other.key().dataCentre())))
         .findFirst();
   }
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
@@ -18,23 +18,24 @@
 import java.util.Set;
 
 /**
- * An operator's edits under one operation id, to be committed together.
+ * An operator's edits under one operation id, committed atomically.
  *
- * <p>Every written row carries the operation id, so a later read of the table tells whether a
- * commit whose answer was lost took effect. Immutable and thread-safe.
+ * <p>Every written row records the operation id, so that a later read of the table shows whether a
+ * commit whose response was lost took effect. Immutable and thread-safe.
  *
  * @param operation the operation's id
- * @param edits the edits, at most one for each row
- * @param ifTableVersion the version the table must still have, if the operator named one
+ * @param edits the edits, at most one per row
+ * @param expectedTableVersion the version that the table is expected to have, if the operator
+ *     specified one
  */
-public record EditPlan(String operation, List<Edit> edits, OptionalLong ifTableVersion)
+public record EditPlan(String operation, List<Edit> edits, OptionalLong expectedTableVersion)
     implements ChangePlan {
 
   /** Copies the edits. */
   public EditPlan {
     Objects.requireNonNull(operation, "operation is null");
     edits = List.copyOf(edits);
-    Objects.requireNonNull(ifTableVersion, "ifTableVersion is null");
+    Objects.requireNonNull(expectedTableVersion, "expectedTableVersion is null");
   }
 
   @Override
@@ -47,15 +48,15 @@
     if (invalid.isPresent()) {
       return new Step.Done(new EditOutcome.NotAccepted(invalid.get()));
     }
-    List<ConflictSides> conflicts = conflicts(table);
+    List<ConflictSides> conflicts = findConflicts(table);
     if (!conflicts.isEmpty()) {
       return new Step.Done(new EditOutcome.Conflict(conflicts));
     }
     List<Route> rows = new ArrayList<>();
     edits.forEach(
-        e -> {
-          Route before = table.route(e.key()).orElseThrow();
-          Route after = e.applyTo(before);
+        edit -> {
+          Route before = table.route(edit.key()).orElseThrow();
+          Route after = edit.applyTo(before);
           if (!after.equals(before)) {
             rows.add(after.withOperation(operation));
           }
@@ -68,37 +69,37 @@
   @Override
   public OptionalLong appliedVersion(Table table) {
     return edits.stream()
-        .flatMap(e -> table.route(e.key()).stream())
-        .filter(r -> r.operations().contains(operation))
+        .flatMap(edit -> table.route(edit.key()).stream())
+        .filter(row -> row.operations().contains(operation))
         .mapToLong(Route::version)
         .max();
   }
 
   private Optional<Problem> firstProblem(Table table) {
-    Set<RouteKey> seen = new HashSet<>();
-    for (Edit e : edits) {
-      Result<Route> r = check(table, e, seen);
-      Optional<Problem> p = r.fold(Optional::of, x -> Optional.empty());
-      if (p.isPresent()) {
-        return p;
+    Set<RouteKey> seenKeys = new HashSet<>();
+    for (Edit edit : edits) {
+      Result<Route> checkedRow = check(table, edit, seenKeys);
+      Optional<Problem> problem = checkedRow.fold(Optional::of, valid -> Optional.empty());
+      if (problem.isPresent()) {
+        return problem;
       }
     }
     return edits.isEmpty()
-        ? Optional.of(Problem.invalid("the edit names no row", "name a service and a data centre"))
+        ? Optional.of(
+            Problem.invalid("the edit contains no rows", "specify a service and a data centre"))
         : Optional.empty();
   }
 
-  private static Result<Route> check(Table table, Edit e, Set<RouteKey> seen) {
-    if (!seen.add(e.key())) {
+  private static Result<Route> check(Table table, Edit edit, Set<RouteKey> seenKeys) {
+    if (!seenKeys.add(edit.key())) {
       return Result.failure(
           Problem.invalid(
-              "row " + e.key() + " stands twice",
-              "keep one line for each service and data centre"));
+              "row " + edit.key() + " appears twice", "keep one line per service and data centre"));
     }
     return table
-        .route(e.key())
+        .route(edit.key())
         .map(Result::success)
-        .orElseGet(() -> Result.failure(unknownRow(table, e.key())));
+        .orElseGet(() -> Result.failure(unknownRow(table, edit.key())));
   }
 
   private static Problem unknownRow(Table table, RouteKey key) {
@@ -108,26 +109,28 @@
         known
             ? "service " + key.service() + " has no data centre " + key.dataCentre()
             : "there is no service " + key.service(),
-        "take a name that 'cactusctl table show' lists");
+        "use a name listed by 'cactusctl table show'");
   }
 
-  private List<ConflictSides> conflicts(Table table) {
-    boolean tableMoved =
-        ifTableVersion.isPresent() && ifTableVersion.getAsLong() != table.version();
-    List<ConflictSides> sides = new ArrayList<>();
-    for (Edit e : edits) {
-      Route theirs = table.route(e.key()).orElseThrow();
-      boolean rowMoved = e.ifVersion().isPresent() && e.ifVersion().getAsLong() != theirs.version();
-      boolean movedSince = tableMoved && theirs.version() > ifTableVersion.getAsLong();
-      if (rowMoved || movedSince) {
-        sides.add(new ConflictSides(e.applyTo(theirs), theirs));
+  private List<ConflictSides> findConflicts(Table table) {
+    boolean tableChanged =
+        expectedTableVersion.isPresent() && expectedTableVersion.getAsLong() != table.version();
+    List<ConflictSides> found = new ArrayList<>();
+    for (Edit edit : edits) {
+      Route currentRow = table.route(edit.key()).orElseThrow();
+      boolean rowChanged =
+          edit.ifVersion().isPresent() && edit.ifVersion().getAsLong() != currentRow.version();
+      boolean rowChangedSinceTableVersion =
+          tableChanged && currentRow.version() > expectedTableVersion.getAsLong();
+      if (rowChanged || rowChangedSinceTableVersion) {
+        found.add(new ConflictSides(edit.applyTo(currentRow), currentRow));
       }
     }
-    if (tableMoved && sides.isEmpty()) {
-      Edit first = edits.get(0);
-      Route theirs = table.route(first.key()).orElseThrow();
-      sides.add(new ConflictSides(first.applyTo(theirs), theirs));
+    if (tableChanged && found.isEmpty()) {
+      Edit firstEdit = edits.get(0);
+      Route currentRow = table.route(firstEdit.key()).orElseThrow();
+      found.add(new ConflictSides(firstEdit.applyTo(currentRow), currentRow));
     }
-    return sides;
+    return found;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/package-info.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/package-info.java
@@ -1,4 +1,4 @@
-/** Finds out what became of a write whose answer was lost. */
+/** Plans table changes and determines the outcome of a commit whose response was lost. */
 @NullMarked
 package dev.cactusstack.decisions.recovery;
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/CallerElapsedTime.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/CallerElapsedTime.java
@@ -4,23 +4,24 @@
 import java.util.Map;
 
 /**
- * How much of their time callers have spent before a request reaches this host.
+ * Estimates how long callers have been trying before a request reaches this host.
  *
- * <p>Callers of a route start with the same deadline, so one that comes with less has tried before.
- * Its latency objective counts from its first attempt. Confined to one thread.
+ * <p>All callers of a route start with the same deadline, so a request with a shorter deadline is a
+ * retry by its caller. Its latency objective counts from the caller's first attempt. Confined to
+ * one thread.
  */
 public final class CallerElapsedTime {
-  private final Map<String, Long> longest = new HashMap<>();
+  private final Map<String, Long> maxDeadlinesMs = new HashMap<>();
 
   /**
-   * Computes what a caller has spent.
+   * Estimates the time that has passed since a caller's first attempt.
    *
    * @param route the route's name
-   * @param deadlineMs how long the caller still waits, in milliseconds
-   * @return milliseconds since the caller's first attempt, 0 if this seems to be the first
+   * @param deadlineMs the remaining deadline of the caller, in milliseconds
+   * @return the elapsed time in milliseconds; 0 if this appears to be the first attempt
    */
   public long elapsedMs(String route, long deadlineMs) {
-    long full = longest.merge(route, deadlineMs, Math::max);
-    return full - deadlineMs;
+    long fullDeadlineMs = maxDeadlinesMs.merge(route, deadlineMs, Math::max);
+    return fullDeadlineMs - deadlineMs;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/HedgeDelay.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/HedgeDelay.java
@@ -1,30 +1,31 @@
 package dev.cactusstack.decisions.retries;
 
 /**
- * When an idempotent request that has not been answered is sent to a second upstream: at the last
- * moment at which the second answer is likely to meet the objective (after The Tail at Scale,
- * 2013).
+ * Computes when to hedge: to send an idempotent request that has no response yet to a second
+ * upstream as well.
  *
- * <p>It answers upstreams that slow down several times over while a request runs. Stateless and
- * thread-safe.
+ * <p>The hedge is sent at the last moment at which the second response is likely to meet the
+ * latency objective (The Tail at Scale, 2013). Hedging mitigates upstreams whose processing time
+ * rises several-fold while a request runs. Stateless and thread-safe.
  */
 public final class HedgeDelay {
-  private static final double SECOND_ANSWER = 1.3;
-  private static final double EARLIEST = 1.25;
-  private static final double LATEST = 1.8;
+  private static final double SECOND_RESPONSE_FACTOR = 1.3;
+  private static final double EARLIEST_FACTOR = 1.25;
+  private static final double LATEST_FACTOR = 1.8;
 
   private HedgeDelay() {}
 
   /**
    * Computes the delay.
    *
-   * @param usualMs how long an answer takes on an undisturbed upstream, in milliseconds
-   * @param objectiveLeftMs time left until the objective is missed, in milliseconds
-   * @return milliseconds from the first attempt to the second
+   * @param typicalMs the typical response time of an undisturbed upstream, in milliseconds
+   * @param objectiveRemainingMs time left to meet the latency objective, in milliseconds
+   * @return the delay between the first and the second attempt, in milliseconds
    */
-  public static long delayMs(double usualMs, long objectiveLeftMs) {
-    double last = objectiveLeftMs - usualMs * SECOND_ANSWER;
-    double bounded = Math.max(usualMs * EARLIEST, Math.min(usualMs * LATEST, last));
-    return Math.max(1, Math.round(bounded));
+  public static long delayMs(double typicalMs, long objectiveRemainingMs) {
+    double latestMs = objectiveRemainingMs - typicalMs * SECOND_RESPONSE_FACTOR;
+    double boundedMs =
+        Math.max(typicalMs * EARLIEST_FACTOR, Math.min(typicalMs * LATEST_FACTOR, latestMs));
+    return Math.max(1, Math.round(boundedMs));
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryBudget.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryBudget.java
@@ -3,43 +3,46 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Allows retries as a share of first attempts, so that retries cannot multiply a failure's load.
+ * Limits retries to a share of first attempts, so that retries cannot multiply the load during a
+ * failure.
  *
  * <p>Invariant: the balance stays between 0 and the reserve. Thread-safe without locks.
  */
 public final class RetryBudget {
-  private static final long UNIT = 1_000;
+  private static final long UNITS_PER_RETRY = 1_000;
 
-  private final long perAttempt;
+  private final long unitsPerAttempt;
   private final long reserve;
   private final AtomicLong balance;
 
   /**
    * Creates a budget with a full reserve.
    *
-   * @param share retries allowed for each first attempt, from 0 to 1
-   * @param reserve retries allowed at once after a quiet time
+   * @param retryShare the number of retries allowed per first attempt, from 0 to 1
+   * @param reserve the number of retries allowed in a burst after a period without retries
    */
-  public RetryBudget(double share, int reserve) {
-    if (share < 0 || share > 1 || reserve < 0) {
-      throw new IllegalArgumentException("share must be 0 to 1 and reserve not negative");
+  public RetryBudget(double retryShare, int reserve) {
+    if (retryShare < 0 || retryShare > 1 || reserve < 0) {
+      throw new IllegalArgumentException(
+          "retryShare must be from 0 to 1 and reserve must not be negative");
     }
-    this.perAttempt = Math.round(share * UNIT);
-    this.reserve = reserve * UNIT;
+    this.unitsPerAttempt = Math.round(retryShare * UNITS_PER_RETRY);
+    this.reserve = reserve * UNITS_PER_RETRY;
     this.balance = new AtomicLong(this.reserve);
   }
 
   /** Records a first attempt. */
   public void deposit() {
-    balance.getAndUpdate(b -> Math.min(reserve, b + perAttempt));
+    balance.getAndUpdate(units -> Math.min(reserve, units + unitsPerAttempt));
   }
 
   /**
    * Takes one retry from the budget.
    *
-   * @return true when the retry is allowed
+   * @return true if the retry is allowed
    */
   public boolean tryWithdraw() {
-    return balance.getAndUpdate(b -> b >= UNIT ? b - UNIT : b) >= UNIT;
+    return balance.getAndUpdate(units -> units >= UNITS_PER_RETRY ? units - UNITS_PER_RETRY : units)
+        >= UNITS_PER_RETRY;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryDecision.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryDecision.java
@@ -1,13 +1,13 @@
 package dev.cactusstack.decisions.retries;
 
-/** What follows a failed attempt. Immutable and thread-safe. */
+/** How to proceed after a failed attempt. Immutable and thread-safe. */
 public enum RetryDecision {
-  /** Send the request again, elsewhere if possible. */
+  /** Send the request again, to another upstream if possible. */
   RETRY,
   /** Tell the caller that the request was not run. */
   REPORT_NOT_RUN,
   /** Tell the caller that the request may have been run. */
   REPORT_UNKNOWN,
-  /** Close the caller's connection, so that a partial answer is not taken for a whole one. */
+  /** Close the caller's connection, so that a partial response is not taken for a complete one. */
   ABORT_RESPONSE
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryWindow.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/RetryWindow.java
@@ -1,17 +1,17 @@
 package dev.cactusstack.decisions.retries;
 
 /**
- * Bounds how many requests this host sends once more to a service, over a sliding window.
+ * Limits the retries that this host sends to a service within a sliding window.
  *
- * <p>Invariant: the repeats of a window are at most a ratio of the requests of the same window plus
- * this host's part of a fixed allowance; so the sum over all hosts keeps the bound of all hosts
- * without any message. Confined to one thread.
+ * <p>Invariant: the retries in a window are at most a ratio of the requests in the same window plus
+ * this host's share of a fixed number of extra retries. The sum over all hosts therefore stays
+ * within the limit for all hosts without any coordination. Confined to one thread.
  */
 public final class RetryWindow {
-  private static final int BUCKETS = 20;
+  private static final int BUCKET_COUNT = 20;
 
-  private final long[] requests = new long[BUCKETS];
-  private final long[] repeats = new long[BUCKETS];
+  private final long[] requests = new long[BUCKET_COUNT];
+  private final long[] retries = new long[BUCKET_COUNT];
   private final long bucketMs;
   private final double ratio;
   private long lastBucket;
@@ -19,54 +19,57 @@
   /**
    * Creates an empty window.
    *
-   * @param windowMs the window's length, in milliseconds
-   * @param ratio repeats allowed for each request
+   * @param windowMs the length of the window, in milliseconds
+   * @param ratio the number of retries allowed per request
    */
   public RetryWindow(long windowMs, double ratio) {
-    this.bucketMs = Math.max(1, windowMs / BUCKETS);
+    this.bucketMs = Math.max(1, windowMs / BUCKET_COUNT);
     this.ratio = ratio;
   }
 
   /**
-   * Counts a request of a caller.
+   * Counts a caller's request.
    *
-   * @param nowMs the present time on a steady clock, in milliseconds
+   * @param nowMs the current time on a monotonic clock, in milliseconds
    */
   public void recordRequest(long nowMs) {
-    requests[bucket(nowMs)]++;
+    requests[advanceTo(nowMs)]++;
   }
 
   /**
-   * Counts a repeat, if one is allowed.
+   * Counts a retry if it is allowed.
    *
-   * @param allowance repeats that this host may send in a window whatever its requests
-   * @param nowMs the present time on the same clock
-   * @return false when no repeat is allowed; nothing is counted then
+   * @param extraRetries the number of retries that this host may send per window regardless of its
+   *     requests
+   * @param nowMs the current time on the same clock
+   * @return true if the retry is allowed; otherwise nothing is counted
    */
-  public boolean tryAcquireRetry(double allowance, long nowMs) {
-    int b = bucket(nowMs);
-    if (sum(repeats) + 1 > ratio * sum(requests) + allowance) {
+  public boolean tryAcquireRetry(double extraRetries, long nowMs) {
+    int current = advanceTo(nowMs);
+    if (sum(retries) + 1 > ratio * sum(requests) + extraRetries) {
       return false;
     }
-    repeats[b]++;
+    retries[current]++;
     return true;
   }
 
-  private int bucket(long nowMs) {
-    long bucket = nowMs / bucketMs;
-    for (long i = Math.max(lastBucket + 1, bucket - BUCKETS + 1); i <= bucket; i++) {
-      requests[(int) Math.floorMod(i, (long) BUCKETS)] = 0;
-      repeats[(int) Math.floorMod(i, (long) BUCKETS)] = 0;
+  private int advanceTo(long nowMs) {
+    long bucketNumber = nowMs / bucketMs;
+    for (long i = Math.max(lastBucket + 1, bucketNumber - BUCKET_COUNT + 1);
+        i <= bucketNumber;
+        i++) {
+      requests[(int) Math.floorMod(i, (long) BUCKET_COUNT)] = 0;
+      retries[(int) Math.floorMod(i, (long) BUCKET_COUNT)] = 0;
     }
-    lastBucket = Math.max(lastBucket, bucket);
-    return (int) Math.floorMod(lastBucket, (long) BUCKETS);
+    lastBucket = Math.max(lastBucket, bucketNumber);
+    return (int) Math.floorMod(lastBucket, (long) BUCKET_COUNT);
   }
 
   private static long sum(long[] counts) {
-    long n = 0;
-    for (long c : counts) {
-      n += c;
+    long total = 0;
+    for (long count : counts) {
+      total += count;
     }
-    return n;
+    return total;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/retries/package-info.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/retries/package-info.java
@@ -1,4 +1,4 @@
-/** Decides whether a request may be sent again and what its caller is told. */
+/** Retry and hedging policy: when a request may be sent again and what its caller is told. */
 @NullMarked
 package dev.cactusstack.decisions.retries;
 
--- a/decisions/src/main/java/dev/cactusstack/decisions/state/Observation.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/state/Observation.java
@@ -4,38 +4,38 @@
 public sealed interface Observation {
 
   /**
-   * A whole answer that is not a server error.
+   * A complete response that is not a server error.
    *
-   * @param latencyMs from sending the request to the start of the answer, in milliseconds
-   * @param reportedWarm whether the answer reports the upstream as warm
+   * @param latencyMs time from sending the request to the start of the response, in milliseconds
+   * @param reportedWarm whether the response reports the upstream as warm
    */
   record Success(double latencyMs, boolean reportedWarm) implements Observation {}
 
   /**
-   * An answer that reports a server error.
+   * A response that reports a server error.
    *
-   * @param latencyMs from sending the request to the start of the answer, in milliseconds
+   * @param latencyMs time from sending the request to the start of the response, in milliseconds
    */
   record ServerError(double latencyMs) implements Observation {}
 
-  /** The upstream's own word that it did not run a request for lack of capacity. */
+  /** The upstream reported that it did not run a request for lack of capacity. */
   record Refusal() implements Observation {}
 
-  /** The answer did not arrive in time. */
+  /** The response did not arrive in time. */
   record Timeout() implements Observation {}
 
-  /** The connection failed before a whole answer. */
+  /** The connection failed before the response was complete. */
   record ConnectionLost() implements Observation {}
 
   /** The upstream reports itself as cold. */
   record ReportedCold() implements Observation {}
 
-  /** The upstream or the host list says that it is leaving. */
+  /** The upstream or the host list reports that it is leaving. */
   record ReportedLeaving() implements Observation {}
 
-  /** What was known of the upstream may no longer hold, as after a time without requests. */
+  /** The known state may be outdated, for example after a period without requests. */
   record StateExpired() implements Observation {}
 
-  /** The host list shows the upstream as live again after it was leaving. */
+  /** The host list no longer reports the upstream as leaving. */
   record ListedActive() implements Observation {}
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamHealth.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamHealth.java
@@ -3,102 +3,106 @@
 import java.util.Objects;
 
 /**
- * What is believed of one upstream, and how much it may be sent.
+ * The inferred health of one upstream and the number of requests it may get.
  *
- * <p>Invariants: {@code allowance} is at least 1; the smoothed values are not negative. Immutable
- * and thread-safe.
+ * <p>Invariants: {@code inFlightLimit} is at least 1; the smoothed values are not negative.
+ * Immutable and thread-safe.
  *
  * @param state the inferred state
- * @param inFlightLimit most requests in flight that the evidence supports; operators' limits apply
- *     besides
- * @param successes successes since the allowance last changed
- * @param consecutiveFailures failures without a success between them
- * @param latencyMs smoothed time of an answer, in milliseconds
- * @param failureRate smoothed share of failed answers, from 0 to 1
- * @param nextTrialAtMs when an unreachable upstream may get its next trial, on the caller's clock
+ * @param inFlightLimit the inferred limit on requests in flight; the operators' limits apply in
+ *     addition
+ * @param successesAtLimit successes since the in-flight limit last changed
+ * @param consecutiveFailures failures since the last success
+ * @param latencyMs smoothed response time, in milliseconds
+ * @param failureRate smoothed share of failed requests, from 0 to 1
+ * @param nextTrialAtMs when an unreachable upstream may get its next trial request, on the clock of
+ *     {@link #observe}
  */
 public record UpstreamHealth(
     UpstreamState state,
     int inFlightLimit,
-    int successes,
+    int successesAtLimit,
     int consecutiveFailures,
     double latencyMs,
     double failureRate,
     long nextTrialAtMs) {
 
-  /** What a newly listed upstream starts from: cold until it proves otherwise. */
+  /** The health of a newly listed upstream, which is cold until its responses show otherwise. */
   public static final UpstreamHealth INITIAL =
       new UpstreamHealth(UpstreamState.COLD, 1, 0, 0, 1, 0, 0);
 
-  private static final int FULL = 1 << 20;
+  private static final int UNLIMITED = 1 << 20;
   private static final int SUCCESSES_PER_STEP = 8;
-  private static final int WARM_ALLOWANCE = 8;
+  private static final int WARM_IN_FLIGHT_LIMIT = 8;
   private static final int FAILURES_TO_UNREACHABLE = 3;
   private static final double SMOOTHING = 0.2;
 
-  /** An answer time that differs by this factor counts more, to follow sudden changes. */
-  private static final double SUDDEN_RATIO = 2;
+  /** A response time that differs by this factor gets more weight, to follow sudden changes. */
+  private static final double SUDDEN_CHANGE_RATIO = 2;
 
-  private static final double SLOWER_SMOOTHING = 0.5;
+  private static final double LATENCY_RISE_SMOOTHING = 0.5;
 
-  /** A slow upstream hardly ever answers this much quicker by chance. */
-  private static final double QUICKER_SMOOTHING = 0.9;
+  /** High, because a slow upstream hardly ever responds this much faster by chance. */
+  private static final double LATENCY_DROP_SMOOTHING = 0.9;
 
-  private static final long FIRST_PAUSE_MS = 250;
-  private static final int MAX_PAUSE_DOUBLINGS = 6;
+  private static final long INITIAL_BACKOFF_MS = 250;
+  private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
   /**
-   * Takes one observation into account.
+   * Returns the health after an observation.
    *
-   * @param e the observation
-   * @param nowMs the time of the observation, in milliseconds on any steady clock
-   * @return the changed belief
+   * @param observation the observation
+   * @param nowMs the time of the observation, in milliseconds on any monotonic clock
+   * @return the updated health
    */
-  public UpstreamHealth observe(Observation e, long nowMs) {
-    Objects.requireNonNull(e, "e is null");
-    if (e instanceof Observation.Success s) {
-      return success(s);
+  public UpstreamHealth observe(Observation observation, long nowMs) {
+    Objects.requireNonNull(observation, "observation is null");
+    if (observation instanceof Observation.Success response) {
+      return afterSuccess(response);
     }
-    if (e instanceof Observation.ServerError s) {
-      return smoothed(s.latencyMs(), 1);
+    if (observation instanceof Observation.ServerError response) {
+      return withSample(response.latencyMs(), 1);
     }
-    if (e instanceof Observation.Refusal || e instanceof Observation.ReportedCold) {
-      return collapsed();
+    if (observation instanceof Observation.Refusal
+        || observation instanceof Observation.ReportedCold) {
+      return resetToCold();
     }
-    if (e instanceof Observation.ReportedLeaving) {
-      return with(UpstreamState.LEAVING, 1);
+    if (observation instanceof Observation.ReportedLeaving) {
+      return withState(UpstreamState.LEAVING, 1);
     }
-    if (e instanceof Observation.StateExpired) {
+    if (observation instanceof Observation.StateExpired) {
       return state == UpstreamState.LEAVING ? this : INITIAL;
     }
-    if (e instanceof Observation.ListedActive) {
+    if (observation instanceof Observation.ListedActive) {
       return state == UpstreamState.LEAVING ? INITIAL : this;
     }
-    return failed(nowMs);
+    return afterFailure(nowMs);
   }
 
-  private UpstreamHealth success(Observation.Success s) {
-    UpstreamHealth h = smoothed(s.latencyMs(), 0);
+  private UpstreamHealth afterSuccess(Observation.Success response) {
+    UpstreamHealth updated = withSample(response.latencyMs(), 0);
     return switch (state) {
-      case LEAVING -> h;
+      case LEAVING -> updated;
       case UNREACHABLE ->
-          new UpstreamHealth(UpstreamState.COLD, 1, 0, 0, h.latencyMs, h.failureRate, 0);
-      case WARM -> new UpstreamHealth(state, inFlightLimit, 0, 0, h.latencyMs, h.failureRate, 0);
-      case COLD -> h.grown(s.reportedWarm());
+          new UpstreamHealth(
+              UpstreamState.COLD, 1, 0, 0, updated.latencyMs, updated.failureRate, 0);
+      case WARM ->
+          new UpstreamHealth(state, inFlightLimit, 0, 0, updated.latencyMs, updated.failureRate, 0);
+      case COLD -> updated.withSuccessCounted(response.reportedWarm());
     };
   }
 
-  private UpstreamHealth grown(boolean saysWarm) {
-    int enough = saysWarm ? 1 : SUCCESSES_PER_STEP;
-    if (successes + 1 < enough) {
+  private UpstreamHealth withSuccessCounted(boolean reportedWarm) {
+    int requiredSuccesses = reportedWarm ? 1 : SUCCESSES_PER_STEP;
+    if (successesAtLimit + 1 < requiredSuccesses) {
       return new UpstreamHealth(
-          state, inFlightLimit, successes + 1, 0, latencyMs, failureRate, nextTrialAtMs);
+          state, inFlightLimit, successesAtLimit + 1, 0, latencyMs, failureRate, nextTrialAtMs);
     }
-    int next = inFlightLimit + 1;
-    boolean warm = next >= WARM_ALLOWANCE;
+    int nextLimit = inFlightLimit + 1;
+    boolean warm = nextLimit >= WARM_IN_FLIGHT_LIMIT;
     return new UpstreamHealth(
         warm ? UpstreamState.WARM : UpstreamState.COLD,
-        warm ? FULL : next,
+        warm ? UNLIMITED : nextLimit,
         0,
         0,
         latencyMs,
@@ -106,50 +110,52 @@
         nextTrialAtMs);
   }
 
-  private UpstreamHealth smoothed(double ms, double failure) {
+  private UpstreamHealth withSample(double sampleMs, double failure) {
     double weight = SMOOTHING;
-    if (ms > SUDDEN_RATIO * latencyMs) {
-      weight = SLOWER_SMOOTHING;
-    } else if (latencyMs > SUDDEN_RATIO * ms) {
-      weight = QUICKER_SMOOTHING;
+    if (sampleMs > SUDDEN_CHANGE_RATIO * latencyMs) {
+      weight = LATENCY_RISE_SMOOTHING;
+    } else if (latencyMs > SUDDEN_CHANGE_RATIO * sampleMs) {
+      weight = LATENCY_DROP_SMOOTHING;
     }
     return new UpstreamHealth(
         state,
         inFlightLimit,
-        successes,
+        successesAtLimit,
         consecutiveFailures,
-        latencyMs + weight * (ms - latencyMs),
+        latencyMs + weight * (sampleMs - latencyMs),
         failureRate + SMOOTHING * (failure - failureRate),
         nextTrialAtMs);
   }
 
-  private UpstreamHealth collapsed() {
-    return state == UpstreamState.LEAVING ? this : with(UpstreamState.COLD, 1);
+  private UpstreamHealth resetToCold() {
+    return state == UpstreamState.LEAVING ? this : withState(UpstreamState.COLD, 1);
   }
 
-  private UpstreamHealth failed(long nowMs) {
-    int n = consecutiveFailures + 1;
-    double share = failureRate + SMOOTHING * (1 - failureRate);
-    if (n < FAILURES_TO_UNREACHABLE && state != UpstreamState.UNREACHABLE) {
-      UpstreamState s = state == UpstreamState.LEAVING ? state : UpstreamState.COLD;
-      return new UpstreamHealth(s, 1, 0, n, latencyMs, share, nextTrialAtMs);
+  private UpstreamHealth afterFailure(long nowMs) {
+    int failureCount = consecutiveFailures + 1;
+    double nextFailureRate = failureRate + SMOOTHING * (1 - failureRate);
+    if (failureCount < FAILURES_TO_UNREACHABLE && state != UpstreamState.UNREACHABLE) {
+      UpstreamState nextState = state == UpstreamState.LEAVING ? state : UpstreamState.COLD;
+      return new UpstreamHealth(
+          nextState, 1, 0, failureCount, latencyMs, nextFailureRate, nextTrialAtMs);
     }
-    int doublings = Math.min(MAX_PAUSE_DOUBLINGS, n - FAILURES_TO_UNREACHABLE);
-    long pause = FIRST_PAUSE_MS << Math.max(0, doublings);
-    UpstreamState s = state == UpstreamState.LEAVING ? state : UpstreamState.UNREACHABLE;
-    return new UpstreamHealth(s, 1, 0, n, latencyMs, share, nowMs + pause);
+    int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, failureCount - FAILURES_TO_UNREACHABLE);
+    long backoffMs = INITIAL_BACKOFF_MS << Math.max(0, doublings);
+    UpstreamState nextState = state == UpstreamState.LEAVING ? state : UpstreamState.UNREACHABLE;
+    return new UpstreamHealth(
+        nextState, 1, 0, failureCount, latencyMs, nextFailureRate, nowMs + backoffMs);
   }
 
-  private UpstreamHealth with(UpstreamState s, int allowed) {
-    return new UpstreamHealth(s, allowed, 0, 0, latencyMs, failureRate, nextTrialAtMs);
+  private UpstreamHealth withState(UpstreamState newState, int newLimit) {
+    return new UpstreamHealth(newState, newLimit, 0, 0, latencyMs, failureRate, nextTrialAtMs);
   }
 
   /**
-   * Computes how many requests may be in flight now.
+   * Returns how many requests may be in flight now.
    *
    * @param operatorLimit the operators' limit for one upstream
-   * @param nowMs the present time on the clock of {@link #observe}
-   * @return the limit, 0 when nothing may be sent
+   * @param nowMs the current time on the clock of {@link #observe}
+   * @return the limit; 0 if no request may be sent
    */
   public int effectiveLimit(int operatorLimit, long nowMs) {
     return switch (state) {
--- a/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamState.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/state/UpstreamState.java
@@ -1,20 +1,20 @@
 package dev.cactusstack.decisions.state;
 
-/** What an upstream can do now. Immutable and thread-safe. */
+/** The state of an upstream. Immutable and thread-safe. */
 public enum UpstreamState {
-  /** Bears its full limit. */
+  /** Can take its full limit. */
   WARM,
-  /** Bears little; its limit grows with successes. */
+  /** Can take little load; its limit grows with successes. */
   COLD,
-  /** Finishes what it has; gets no new work. */
+  /** Completes its running requests; gets no new ones. */
   LEAVING,
-  /** Did not answer; gets one trial request at a time after a pause. */
+  /** Failed repeatedly; gets one trial request at a time after a backoff. */
   UNREACHABLE;
 
   /**
-   * Returns the state as operators see it.
+   * Returns the label of the state for operators.
    *
-   * @return the label
+   * @return the name in lower case
    */
   public String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
--- a/decisions/src/main/java/dev/cactusstack/decisions/state/package-info.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/state/package-info.java
@@ -1,4 +1,4 @@
-/** Infers the state of an upstream from evidence. */
+/** Infers the state of an upstream from observations. */
 @NullMarked
 package dev.cactusstack.decisions.state;
 
