--- a/decisions/src/test/java/dev/cactusstack/decisions/membership/Group.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/membership/SimulatedGroup.java
@@ -11,13 +11,13 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Several members with a network that loses and delays messages, in virtual time. */
-final class Group {
+/** A group of members on a simulated network that loses and delays messages, in virtual time. */
+final class SimulatedGroup {
   static final long STEP_MS = 50;
 
   private final Random random;
-  private final double loss;
-  private final long delayMs;
+  private final double lossProbability;
+  private final long maxDelayMs;
   private final List<Membership> hosts = new ArrayList<>();
   private final Set<Integer> paused = new HashSet<>();
   private final PriorityQueue<InFlight> network =
@@ -25,14 +25,14 @@
           Comparator.comparingLong(InFlight::atMs).thenComparingLong(InFlight::sequence));
   private long nowMs = 1;
   private long sequence;
-  private long bytesLike;
+  private long messagesSent;
 
   private record InFlight(long atMs, long sequence, int from, int to, OutgoingMessage message) {}
 
-  Group(int size, double loss, long delayMs, long seed) {
+  SimulatedGroup(int size, double lossProbability, long maxDelayMs, long seed) {
     this.random = new Random(seed);
-    this.loss = loss;
-    this.delayMs = delayMs;
+    this.lossProbability = lossProbability;
+    this.maxDelayMs = maxDelayMs;
     var links = new ArrayList<Address>();
     for (int i = 0; i < size; i++) {
       links.add(link(i));
@@ -82,9 +82,9 @@
     hosts.set(i, m);
   }
 
-  /** Messages sent by all hosts since the start. */
-  long sent() {
-    return bytesLike;
+  /** Returns the number of messages sent by all hosts since the start. */
+  long sentMessages() {
+    return messagesSent;
   }
 
   void run(long ms) {
@@ -112,16 +112,16 @@
 
   private void send(int from, List<OutgoingMessage> messages) {
     for (OutgoingMessage o : messages) {
-      bytesLike++;
+      messagesSent++;
       int to = Integer.parseInt(o.receiver().ip().substring("10.0.0.".length())) - 1;
-      if (random.nextDouble() >= loss) {
-        long delay = 1 + (long) (random.nextDouble() * delayMs);
+      if (random.nextDouble() >= lossProbability) {
+        long delay = 1 + (long) (random.nextDouble() * maxDelayMs);
         network.add(new InFlight(nowMs + delay, sequence++, from, to, o));
       }
     }
   }
 
-  MemberStatus seen(int by, int of) {
+  MemberStatus statusSeen(int by, int of) {
     Member m = hosts.get(by).members().get(id(of));
     return m == null ? MemberStatus.DEAD : m.status();
   }
@@ -129,7 +129,7 @@
   boolean allAlive() {
     for (int by = 0; by < hosts.size(); by++) {
       for (int of = 0; of < hosts.size(); of++) {
-        if (seen(by, of) != MemberStatus.ALIVE) {
+        if (statusSeen(by, of) != MemberStatus.ALIVE) {
           return false;
         }
       }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
@@ -16,63 +16,63 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * Plays a load pattern in virtual time, once with the scheduler and once with an earlier decision,
- * on the same arrivals, work and slow-downs.
+ * Replays a load pattern in virtual time, with the scheduler or with a round-robin policy, on the
+ * same arrivals, processing times and slowdowns.
  */
 final class Replay {
   private static final SchedulerSettings SETTINGS = new SchedulerSettings(12, 1, 12, 0.45, 1.5, 5);
   private static final long OBJECTIVE_MS = 300;
-  private static final long LEFT_MS = 1_000;
-  private static final double WORK_MS = 90;
-  private static final double SPREAD = 0.3;
+  private static final long DEADLINE_MS = 1_000;
+  private static final double PROCESSING_MS = 90;
+  private static final double PROCESSING_SIGMA = 0.3;
   private static final long STEP_MS = 2;
-  private static final long PROBE_MS = 50;
-  private static final long WAY_MS = 5;
+  private static final long PROBE_INTERVAL_MS = 50;
+  private static final long PROBE_ROUND_TRIP_MS = 5;
   private static final long HANG_MS = 100_000;
   private static final int HOSTS = 6;
-  private static final long SECOND_AFTER_MS = 140;
+  private static final long HEDGE_AFTER_MS = 140;
 
   /** How the load and the upstreams change over time. */
-  interface Pattern {
-    /** Requests a second. */
-    double rate(long nowMs);
+  interface LoadPattern {
+    /** Returns the arrival rate, in requests per second. */
+    double requestsPerSecond(long nowMs);
 
-    /** How much longer than usual work takes on an upstream; 0 if it hangs. */
-    double pace(int upstream, long nowMs);
+    /** Returns the slowdown factor of an upstream; 0 if it hangs. */
+    double slowdown(int upstream, long nowMs);
 
-    /** Tells whether an upstream may be used. */
-    default boolean there(int upstream, long nowMs) {
+    /** Checks whether an upstream can be used. */
+    default boolean isAvailable(int upstream, long nowMs) {
       return true;
     }
 
-    /** Tells how much longer an upstream is cold. */
-    default long coldMs(int upstream, long nowMs) {
+    /** Returns how much longer an upstream is cold, in milliseconds. */
+    default long warmupRemainingMs(int upstream, long nowMs) {
       return 0;
     }
   }
 
-  /** How much longer than usual work takes on an upstream at a moment. */
-  interface Pace {
+  /** The slowdown factor of an upstream at a given time. */
+  interface Slowdown {
     double of(int upstream, long nowMs);
   }
 
-  /** A pattern in which all upstreams are there and none is cold. */
-  static Pattern pattern(LongToDoubleFunction rate, Pace pace) {
-    return new Pattern() {
+  /** Creates a pattern in which all upstreams are available and none is cold. */
+  static LoadPattern pattern(LongToDoubleFunction rate, Slowdown pace) {
+    return new LoadPattern() {
       @Override
-      public double rate(long nowMs) {
+      public double requestsPerSecond(long nowMs) {
         return rate.applyAsDouble(nowMs);
       }
 
       @Override
-      public double pace(int upstream, long nowMs) {
+      public double slowdown(int upstream, long nowMs) {
         return pace.of(upstream, nowMs);
       }
     };
   }
 
-  /** Decides as the hosts did before: any free slot in turn, the oldest waits first. */
-  private static final class InTurn {
+  /** Baseline policy: any free slot in round-robin order; the oldest request is served first. */
+  private static final class RoundRobinPolicy {
     private int next;
 
     int choose(int[] running, boolean[] there, int slots) {
@@ -87,12 +87,13 @@
     }
   }
 
-  private record Arrival(long atMs, double workMs) {}
+  private record Arrival(long atMs, double processingMs) {}
 
-  private record Job(Arrival arrival, PlacementKey key, int upstream, double leftMs) {}
+  private record RunningAttempt(
+      Arrival arrival, PlacementKey key, int upstream, double processingRemainingMs) {}
 
-  /** What callers saw. */
-  record Outcome(int asked, int onTime, int late, int turnedAway, int mostColdASecond) {
+  /** The results as seen by callers. */
+  record ReplayResult(int asked, int onTime, int late, int rejected, int maxColdPerSecond) {
     int missed() {
       return asked - onTime;
     }
@@ -101,10 +102,10 @@
   private final int upstreams;
   private final int slots;
   private final long lengthMs;
-  private final Pattern pattern;
+  private final LoadPattern pattern;
   private final List<Arrival> arrivals = new ArrayList<>();
 
-  Replay(int upstreams, int slots, long lengthMs, long seed, Pattern pattern) {
+  Replay(int upstreams, int slots, long lengthMs, long seed, LoadPattern pattern) {
     this.upstreams = upstreams;
     this.slots = slots;
     this.lengthMs = lengthMs;
@@ -112,27 +113,29 @@
     var random = new SplittableRandom(seed);
     double at = 0;
     while (at < lengthMs) {
-      at += -Math.log(1 - random.nextDouble()) * 1_000 / pattern.rate((long) at);
-      arrivals.add(new Arrival((long) at, WORK_MS * Math.exp(SPREAD * random.nextGaussian())));
+      at += -Math.log(1 - random.nextDouble()) * 1_000 / pattern.requestsPerSecond((long) at);
+      arrivals.add(
+          new Arrival(
+              (long) at, PROCESSING_MS * Math.exp(PROCESSING_SIGMA * random.nextGaussian())));
     }
   }
 
-  /** Noisy neighbours: in each period some upstreams are several times slower. */
+  /** Simulates noisy neighbours: in each period a share of the upstreams is slower by a factor. */
   static double noise(long seed, int upstream, long nowMs, double share, double factor) {
     long period = (nowMs + upstream * 137L) / 500;
     var random = new SplittableRandom(seed * 1_000_003 + upstream * 7_919L + period);
     return random.nextDouble() < share ? factor : 1;
   }
 
-  Outcome inTurn() {
-    var policy = new InTurn();
-    List<Job> running = new ArrayList<>();
+  ReplayResult runRoundRobin() {
+    var policy = new RoundRobinPolicy();
+    List<RunningAttempt> running = new ArrayList<>();
     List<Arrival> line = new ArrayList<>();
     int[] count = new int[upstreams];
-    var tally = new Tally();
+    var tally = new ResultCounter();
     int next = 0;
-    for (long now = 0; now < lengthMs + LEFT_MS; now += STEP_MS) {
-      for (Job j : advance(running, now)) {
+    for (long now = 0; now < lengthMs + DEADLINE_MS; now += STEP_MS) {
+      for (RunningAttempt j : advance(running, now)) {
         count[j.upstream]--;
         tally.ended(j.arrival, now);
       }
@@ -141,7 +144,7 @@
       }
       boolean[] there = new boolean[upstreams];
       for (int u = 0; u < upstreams; u++) {
-        there[u] = pattern.there(u, now);
+        there[u] = pattern.isAvailable(u, now);
       }
       while (!line.isEmpty()) {
         int u = policy.choose(count, there, slots);
@@ -151,43 +154,43 @@
         Arrival a = line.remove(0);
         count[u]++;
         tally.sent(u, now);
-        running.add(new Job(a, new PlacementKey(0, 0), u, a.workMs));
+        running.add(new RunningAttempt(a, new PlacementKey(0, 0), u, a.processingMs));
       }
     }
     return tally.outcome();
   }
 
-  Outcome scheduled(boolean probes) {
-    return scheduled(probes, Second.NONE);
+  ReplayResult runScheduler(boolean probes) {
+    return runScheduler(probes, SecondAttempt.NONE);
   }
 
-  /** What happens to a request that has not been answered for a while. */
-  enum Second {
+  /** What happens to a request that has had no response for a while. */
+  enum SecondAttempt {
     /** Nothing. */
     NONE,
-    /** It asks for a second slot as if it were a new request. */
-    LIKE_FIRST,
-    /** It asks for a second slot that is left over. */
-    SPARE
+    /** It requests a second slot like a new request. */
+    AS_NEW_REQUEST,
+    /** It requests a second slot as a hedge, which takes only spare slots. */
+    HEDGE
   }
 
-  Outcome scheduled(boolean probes, Second second) {
+  ReplayResult runScheduler(boolean probes, SecondAttempt second) {
     var scheduler = new Scheduler(SETTINGS);
     var rule = new ServiceRule("s", "/h", 100, 3_000, 14);
-    List<Job> running = new ArrayList<>();
+    List<RunningAttempt> running = new ArrayList<>();
     Map<PlacementKey, Arrival> asked = new HashMap<>();
     Set<Arrival> done = Collections.newSetFromMap(new IdentityHashMap<>());
     Set<Arrival> again = Collections.newSetFromMap(new IdentityHashMap<>());
     var probing = new PriorityQueue<long[]>((a, b) -> Long.compare(a[0], b[0]));
-    var tally = new Tally();
+    var tally = new ResultCounter();
     int next = 0;
     long seconds = 0;
-    for (long now = 0; now < lengthMs + LEFT_MS; now += STEP_MS) {
+    for (long now = 0; now < lengthMs + DEADLINE_MS; now += STEP_MS) {
       if (now % 500 == 0) {
         scheduler.updateUpstreams(rule, entries(now), now);
       }
       List<PlacementDecision> verdicts = new ArrayList<>();
-      for (Job j : advance(running, now)) {
+      for (RunningAttempt j : advance(running, now)) {
         if (done.add(j.arrival)) {
           tally.ended(j.arrival, now);
         }
@@ -196,13 +199,14 @@
       }
       while (!probing.isEmpty() && probing.peek()[0] <= now) {
         int u = (int) probing.remove()[1];
-        if (pattern.pace(u, now) > 0) {
+        if (pattern.slowdown(u, now) > 0) {
           verdicts.addAll(scheduler.recordProbeResponse("u" + u, load(u, now), now));
         }
       }
-      if (probes && now % PROBE_MS == 0) {
+      if (probes && now % PROBE_INTERVAL_MS == 0) {
         for (UpstreamEntry u : scheduler.selectProbeTargets(now)) {
-          probing.add(new long[] {now + WAY_MS, Integer.parseInt(u.id().substring(1))});
+          probing.add(
+              new long[] {now + PROBE_ROUND_TRIP_MS, Integer.parseInt(u.id().substring(1))});
         }
       }
       for (; next < arrivals.size() && arrivals.get(next).atMs <= now; next++) {
@@ -211,15 +215,16 @@
         verdicts.addAll(
             scheduler.submit(
                 new PlacementRequest(
-                    key, "dc", "r", 1, OBJECTIVE_MS, OBJECTIVE_MS, LEFT_MS, 0, false, Set.of()),
+                    key, "dc", "r", 1, OBJECTIVE_MS, OBJECTIVE_MS, DEADLINE_MS, 0, false, Set.of()),
                 now));
       }
-      for (Job j : second == Second.NONE ? List.<Job>of() : List.copyOf(running)) {
-        if (now - j.arrival.atMs >= SECOND_AFTER_MS && again.add(j.arrival)) {
+      for (RunningAttempt j :
+          second == SecondAttempt.NONE ? List.<RunningAttempt>of() : List.copyOf(running)) {
+        if (now - j.arrival.atMs >= HEDGE_AFTER_MS && again.add(j.arrival)) {
           var key = new PlacementKey(0, ++seconds);
           asked.put(key, j.arrival);
           long passed = now - j.arrival.atMs;
-          boolean spare = second == Second.SPARE;
+          boolean spare = second == SecondAttempt.HEDGE;
           Set<String> tried = Set.of("u" + j.upstream);
           verdicts.addAll(
               scheduler.submit(
@@ -230,7 +235,7 @@
                       1,
                       OBJECTIVE_MS,
                       Math.max(0, OBJECTIVE_MS - passed),
-                      Math.max(0, LEFT_MS - passed),
+                      Math.max(0, DEADLINE_MS - passed),
                       0,
                       spare,
                       tried),
@@ -245,9 +250,9 @@
           int u = Integer.parseInt(p.upstream().id().substring(1));
           Arrival a = asked.get(v.key());
           tally.sent(u, now);
-          running.add(new Job(a, v.key(), u, a.workMs));
+          running.add(new RunningAttempt(a, v.key(), u, a.processingMs));
         } else if (v instanceof PlacementDecision.Rejected && v.key().hostHash() != 0) {
-          tally.turnedAway++;
+          tally.rejected++;
         }
       }
     }
@@ -257,71 +262,71 @@
   private List<UpstreamEntry> entries(long now) {
     List<UpstreamEntry> out = new ArrayList<>();
     for (int u = 0; u < upstreams; u++) {
-      if (pattern.there(u, now)) {
+      if (pattern.isAvailable(u, now)) {
         var address = new Address("127.0.0.1", 1_000 + u);
         out.add(
             new UpstreamEntry(
-                "u" + u, "s", address, "dc", slots, false, pattern.coldMs(u, now), 1));
+                "u" + u, "s", address, "dc", slots, false, pattern.warmupRemainingMs(u, now), 1));
       }
     }
     return out;
   }
 
   private ReportedLoad load(int u, long now) {
-    return new ReportedLoad(0, 0, slots, (int) Math.round(pattern.pace(u, now) * 100));
+    return new ReportedLoad(0, 0, slots, (int) Math.round(pattern.slowdown(u, now) * 100));
   }
 
-  private AttemptReport report(Job j, long took, long now) {
-    AttemptOutcome end = took >= LEFT_MS ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED;
+  private AttemptReport report(RunningAttempt j, long took, long now) {
+    AttemptOutcome end = took >= DEADLINE_MS ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED;
     return new AttemptReport(
         j.key, "u" + j.upstream, end, took, Optional.of(load(j.upstream, now)));
   }
 
-  /** Lets a step of work pass; returns what has ended, by its work or by its caller's patience. */
-  private List<Job> advance(List<Job> running, long now) {
-    List<Job> ended = new ArrayList<>();
+  /** Advances by one step and returns the attempts that completed or reached the deadline. */
+  private List<RunningAttempt> advance(List<RunningAttempt> running, long now) {
+    List<RunningAttempt> ended = new ArrayList<>();
     for (int i = running.size() - 1; i >= 0; i--) {
-      Job j = running.get(i);
-      double pace = pattern.pace(j.upstream, now);
-      double left = pace == 0 ? HANG_MS : j.leftMs - STEP_MS / pace;
-      if (left <= 0 || now - j.arrival.atMs >= LEFT_MS) {
+      RunningAttempt j = running.get(i);
+      double pace = pattern.slowdown(j.upstream, now);
+      double left = pace == 0 ? HANG_MS : j.processingRemainingMs - STEP_MS / pace;
+      if (left <= 0 || now - j.arrival.atMs >= DEADLINE_MS) {
         running.remove(i);
         ended.add(j);
       } else {
-        running.set(i, new Job(j.arrival, j.key, j.upstream, left));
+        running.set(i, new RunningAttempt(j.arrival, j.key, j.upstream, left));
       }
     }
     return ended;
   }
 
-  /** Counts what callers saw. */
-  private final class Tally {
+  /** Counts the results as seen by callers. */
+  private final class ResultCounter {
     private int onTime;
     private int late;
-    private int turnedAway;
-    private int mostCold;
-    private final Map<Integer, List<Long>> cold = new HashMap<>();
+    private int rejected;
+    private int maxCold;
+    private final Map<Integer, List<Long>> coldRequestTimesMs = new HashMap<>();
 
     void ended(Arrival a, long now) {
       long took = now - a.atMs;
       if (took <= OBJECTIVE_MS) {
         onTime++;
-      } else if (took < LEFT_MS) {
+      } else if (took < DEADLINE_MS) {
         late++;
       }
     }
 
     void sent(int upstream, long now) {
-      if (pattern.coldMs(upstream, now) > 0) {
-        List<Long> times = cold.computeIfAbsent(upstream, u -> new ArrayList<>());
+      if (pattern.warmupRemainingMs(upstream, now) > 0) {
+        List<Long> times = coldRequestTimesMs.computeIfAbsent(upstream, u -> new ArrayList<>());
         times.add(now);
         long since = now - 1_000;
-        mostCold = Math.max(mostCold, (int) times.stream().filter(t -> t > since).count());
+        maxCold = Math.max(maxCold, (int) times.stream().filter(t -> t > since).count());
       }
     }
 
-    Outcome outcome() {
-      return new Outcome(arrivals.size(), onTime, late, turnedAway, mostCold);
+    ReplayResult outcome() {
+      return new ReplayResult(arrivals.size(), onTime, late, rejected, maxCold);
     }
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerReplayTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerReplayTest.java
@@ -4,30 +4,33 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Replays the loads that the decisions are for, against placing in turn with the oldest first. */
+/** Replays overload, slowdowns and outages to compare the scheduler with a round-robin policy. */
 class SchedulerReplayTest {
   private static final int SLOTS = 2;
   private static final int UPSTREAMS = 12;
   private static final long LENGTH_MS = 20_000;
   private static final long SEED = 5;
 
-  private static Replay.Pattern pattern(double rate) {
+  private static Replay.LoadPattern pattern(double rate) {
     return Replay.pattern(nowMs -> rate, (upstream, nowMs) -> 1);
   }
 
-  private static Replay replay(Replay.Pattern p) {
+  private static Replay replay(Replay.LoadPattern p) {
     return new Replay(UPSTREAMS, SLOTS, LENGTH_MS, SEED, p);
   }
 
-  private static boolean during(long nowMs) {
+  private static boolean isDuringDisturbance(long nowMs) {
     return nowMs >= 5_000 && nowMs < 12_000;
   }
 
   @Test
-  void shouldServeMoreOnTimeWhenMoreRequestsComeThanCanBeServed() {
-    Replay r = replay(Replay.pattern(nowMs -> during(nowMs) ? 400 : 150, (upstream, nowMs) -> 1));
-    Replay.Outcome before = r.inTurn();
-    Replay.Outcome after = r.scheduled(true);
+  void shouldServeMoreOnTimeWhenTheServiceIsOverloaded() {
+    Replay r =
+        replay(
+            Replay.pattern(
+                nowMs -> isDuringDisturbance(nowMs) ? 400 : 150, (upstream, nowMs) -> 1));
+    Replay.ReplayResult before = r.runRoundRobin();
+    Replay.ReplayResult after = r.runScheduler(true);
     assertThat(after.onTime()).isGreaterThan((int) (before.onTime() * 1.2));
     assertThat(after.onTime() + after.late())
         .isGreaterThanOrEqualTo((int) ((before.onTime() + before.late()) * 0.9));
@@ -37,34 +40,35 @@
   void shouldServeMoreOnTimeWhenADataCentreIsLostUnderHighLoad() {
     Replay r =
         replay(
-            new Replay.Pattern() {
+            new Replay.LoadPattern() {
               @Override
-              public double rate(long nowMs) {
+              public double requestsPerSecond(long nowMs) {
                 return 200;
               }
 
               @Override
-              public double pace(int upstream, long nowMs) {
+              public double slowdown(int upstream, long nowMs) {
                 return 1;
               }
 
               @Override
-              public boolean there(int upstream, long nowMs) {
-                return !during(nowMs) || upstream >= UPSTREAMS / 3;
+              public boolean isAvailable(int upstream, long nowMs) {
+                return !isDuringDisturbance(nowMs) || upstream >= UPSTREAMS / 3;
               }
             });
-    assertThat(r.scheduled(true).onTime()).isGreaterThan((int) (r.inTurn().onTime() * 1.2));
+    assertThat(r.runScheduler(true).onTime())
+        .isGreaterThan((int) (r.runRoundRobin().onTime() * 1.2));
   }
 
   @Test
-  void shouldServeMoreOnTimeWhenNeighboursStealCapacityForHalfSeconds() {
+  void shouldServeMoreOnTimeWhenNoisyNeighboursSlowUpstreamsForHalfSeconds() {
     Replay r =
         replay(
             Replay.pattern(
                 nowMs -> 100, (upstream, nowMs) -> Replay.noise(SEED, upstream, nowMs, 0.25, 7)));
-    Replay.Outcome before = r.inTurn();
-    Replay.Outcome unprobed = r.scheduled(false);
-    Replay.Outcome probed = r.scheduled(true);
+    Replay.ReplayResult before = r.runRoundRobin();
+    Replay.ReplayResult unprobed = r.runScheduler(false);
+    Replay.ReplayResult probed = r.runScheduler(true);
     assertThat(unprobed.onTime()).isGreaterThan(before.onTime());
     assertThat(probed.onTime()).isGreaterThan(unprobed.onTime());
   }
@@ -75,8 +79,9 @@
         replay(
             Replay.pattern(
                 nowMs -> 120,
-                (upstream, nowMs) -> during(nowMs) && upstream < UPSTREAMS / 3 ? 5 : 1));
-    assertThat(r.scheduled(true).missed()).isLessThan(r.inTurn().missed() / 2);
+                (upstream, nowMs) ->
+                    isDuringDisturbance(nowMs) && upstream < UPSTREAMS / 3 ? 5 : 1));
+    assertThat(r.runScheduler(true).missed()).isLessThan(r.runRoundRobin().missed() / 2);
   }
 
   @Test
@@ -84,60 +89,61 @@
     Replay r =
         replay(
             Replay.pattern(
-                nowMs -> 100, (upstream, nowMs) -> during(nowMs) && upstream < 2 ? 0 : 1));
-    assertThat(r.scheduled(true).missed()).isLessThan(r.inTurn().missed() / 2);
+                nowMs -> 100,
+                (upstream, nowMs) -> isDuringDisturbance(nowMs) && upstream < 2 ? 0 : 1));
+    assertThat(r.runScheduler(true).missed()).isLessThan(r.runRoundRobin().missed() / 2);
   }
 
   @Test
-  void shouldKeepTheColdBoundAndServeWhenADataCentreReturnsCold() {
+  void shouldKeepTheWarmupLimitAndServeWhenADataCentreReturnsCold() {
     Replay r =
         replay(
-            new Replay.Pattern() {
+            new Replay.LoadPattern() {
               @Override
-              public double rate(long nowMs) {
+              public double requestsPerSecond(long nowMs) {
                 return 180;
               }
 
               @Override
-              public double pace(int upstream, long nowMs) {
-                return coldMs(upstream, nowMs) > 0 ? 2 : 1;
+              public double slowdown(int upstream, long nowMs) {
+                return warmupRemainingMs(upstream, nowMs) > 0 ? 2 : 1;
               }
 
               @Override
-              public boolean there(int upstream, long nowMs) {
+              public boolean isAvailable(int upstream, long nowMs) {
                 return upstream >= UPSTREAMS / 3 || nowMs < 5_000 || nowMs >= 9_000;
               }
 
               @Override
-              public long coldMs(int upstream, long nowMs) {
+              public long warmupRemainingMs(int upstream, long nowMs) {
                 boolean back = upstream < UPSTREAMS / 3 && nowMs >= 9_000 && nowMs < 12_000;
                 return back ? 12_000 - nowMs : 0;
               }
             });
-    Replay.Outcome unbounded = r.inTurn();
-    Replay.Outcome after = r.scheduled(true);
-    assertThat(after.mostColdASecond())
+    Replay.ReplayResult unbounded = r.runRoundRobin();
+    Replay.ReplayResult after = r.runScheduler(true);
+    assertThat(after.maxColdPerSecond())
         .isLessThanOrEqualTo(13)
-        .isLessThan(unbounded.mostColdASecond());
+        .isLessThan(unbounded.maxColdPerSecond());
     assertThat(after.onTime()).isGreaterThanOrEqualTo((int) (unbounded.onTime() * 0.95));
   }
 
   @Test
-  void shouldServeEveryoneOnTimeWhenThereIsRoomForAll() {
-    Replay.Outcome o = replay(pattern(100)).scheduled(true);
-    assertThat(o.turnedAway()).isZero();
+  void shouldServeAllOnTimeWhenThereIsCapacityForAll() {
+    Replay.ReplayResult o = replay(pattern(100)).runScheduler(true);
+    assertThat(o.rejected()).isZero();
     assertThat(o.onTime()).isGreaterThanOrEqualTo((int) (o.asked() * 0.99));
   }
 
   @Test
-  void shouldServeMoreOnTimeWhenSecondAttemptsTakeOnlyWhatIsLeftOver() {
+  void shouldServeMoreOnTimeWhenHedgesTakeOnlySpareSlots() {
     Replay r =
         replay(
             Replay.pattern(
                 nowMs -> 200, (upstream, nowMs) -> Replay.noise(SEED, upstream, nowMs, 0.35, 7)));
-    Replay.Outcome before = r.scheduled(true, Replay.Second.LIKE_FIRST);
-    Replay.Outcome after = r.scheduled(true, Replay.Second.SPARE);
+    Replay.ReplayResult before = r.runScheduler(true, Replay.SecondAttempt.AS_NEW_REQUEST);
+    Replay.ReplayResult after = r.runScheduler(true, Replay.SecondAttempt.HEDGE);
     assertThat(after.onTime()).isGreaterThan(before.onTime());
-    assertThat(after.turnedAway()).isLessThan(before.turnedAway());
+    assertThat(after.rejected()).isLessThan(before.rejected());
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
@@ -25,11 +25,11 @@
         id, "s", new Address("127.0.0.1", 80), "dc", slots, false, coldForMs, 1);
   }
 
-  private PlacementRequest ask(long onTimeMs, String... tried) {
-    return ask(onTimeMs, 1_000, tried);
+  private PlacementRequest request(long onTimeMs, String... tried) {
+    return request(onTimeMs, 1_000, tried);
   }
 
-  private PlacementRequest ask(long onTimeMs, long leftMs, String... tried) {
+  private PlacementRequest request(long onTimeMs, long leftMs, String... tried) {
     return new PlacementRequest(
         new PlacementKey(1, ++number),
         "dc",
@@ -53,27 +53,27 @@
     return new AttemptReport(v.key(), id, end, 90, Optional.of(load));
   }
 
-  private static String placed(PlacementDecision v) {
+  private static String placedOn(PlacementDecision v) {
     return v instanceof PlacementDecision.Placed p
         ? p.upstream().id()
         : v.getClass().getSimpleName();
   }
 
   @Test
-  void shouldNeverHoldMoreThanTheSlotsWhenAsksKeepComing() {
+  void shouldNeverHoldMoreThanTheSlotsWhenRequestsKeepArriving() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
     Map<String, Integer> counts = new HashMap<>();
     for (int i = 0; i < 6; i++) {
-      counts.merge(placed(one(ask(300), 0)), 1, Integer::sum);
+      counts.merge(placedOn(one(request(300), 0)), 1, Integer::sum);
     }
     assertThat(counts).containsEntry("a", 2).containsEntry("b", 2).containsEntry("Queued", 2);
   }
 
   @Test
-  void shouldGiveAFreedSlotToTheOneWhoWaitsWhenAnAttemptEnds() {
+  void shouldPlaceTheQueuedRequestWhenAnAttemptEnds() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    PlacementDecision first = one(ask(300), 0);
-    PlacementRequest waiting = ask(300);
+    PlacementDecision first = one(request(300), 0);
+    PlacementRequest waiting = request(300);
     one(waiting, 0);
     List<PlacementDecision> next = scheduler.report(end(first, AttemptOutcome.ANSWERED, 100), 50);
     assertThat(next).hasSize(1);
@@ -81,40 +81,40 @@
   }
 
   @Test
-  void shouldCountAnEndOnceWhenItIsToldTwice() {
+  void shouldReleaseTheSlotOnceWhenAnAttemptIsReportedTwice() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    AttemptReport ended = end(one(ask(0), 0), AttemptOutcome.ANSWERED, 100);
+    AttemptReport ended = end(one(request(0), 0), AttemptOutcome.ANSWERED, 100);
     scheduler.report(ended, 10);
-    PlacementDecision second = one(ask(0), 20);
+    PlacementDecision second = one(request(0), 20);
     scheduler.report(ended, 30);
-    assertThat(placed(second)).isEqualTo("a");
-    assertThat(one(ask(0), 40)).isNotInstanceOf(PlacementDecision.Placed.class);
+    assertThat(placedOn(second)).isEqualTo("a");
+    assertThat(one(request(0), 40)).isNotInstanceOf(PlacementDecision.Placed.class);
   }
 
   @Test
-  void shouldFreeTheSlotWhenThePlacedRequestIsWithdrawn() {
+  void shouldReleaseTheSlotWhenThePlacedRequestIsCancelled() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    PlacementRequest lost = ask(0);
+    PlacementRequest lost = request(0);
     one(lost, 0);
     scheduler.cancel(lost.key());
-    assertThat(placed(one(ask(0), 1))).isEqualTo("a");
+    assertThat(placedOn(one(request(0), 1))).isEqualTo("a");
   }
 
   @Test
-  void shouldTurnAwayAtOnceWhenARequestThatIsLateWouldWaitTooLong() {
+  void shouldRejectImmediatelyWhenALateRequestWouldWaitTooLong() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    one(ask(300), 0);
-    assertThat(one(ask(0, 50), 0)).isInstanceOf(PlacementDecision.Rejected.class);
+    one(request(300), 0);
+    assertThat(one(request(0, 50), 0)).isInstanceOf(PlacementDecision.Rejected.class);
   }
 
   @Test
-  void shouldTurnAwayTheOldestWhenMoreWaitThanCanBeOnTime() {
+  void shouldRejectTheOldestWhenMoreAreQueuedThanCanMeetTheirObjective() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    one(ask(300), 0);
+    one(request(300), 0);
     List<PlacementRequest> waiting = new ArrayList<>();
     List<PlacementKey> turnedAway = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      PlacementRequest a = ask(300);
+      PlacementRequest a = request(300);
       waiting.add(a);
       scheduler.submit(a, i).stream()
           .filter(PlacementDecision.Rejected.class::isInstance)
@@ -125,33 +125,33 @@
   }
 
   @Test
-  void shouldTellEachCallerAnotherTimeWhenSeveralAreTurnedAway() {
+  void shouldAssignDistinctRetryTimesWhenSeveralRequestsAreRejected() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    one(ask(300), 0);
+    one(request(300), 0);
     List<Long> times = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      times.add(((PlacementDecision.Rejected) one(ask(0, 50), 0)).retryAfterMs());
+      times.add(((PlacementDecision.Rejected) one(request(0, 50), 0)).retryAfterMs());
     }
     assertThat(times).doesNotHaveDuplicates().isSorted();
   }
 
   @Test
-  void shouldTurnAwayWhenARequestCanNoLongerBeOnTimeAndOthersCan() {
+  void shouldRejectARequestWhenItCanNoLongerMeetItsObjectiveAndOthersCan() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    one(ask(300), 0);
-    PlacementRequest old = ask(150);
+    one(request(300), 0);
+    PlacementRequest old = request(150);
     one(old, 0);
-    one(ask(300), 90);
+    one(request(300), 90);
     assertThat(scheduler.tick(95)).extracting(PlacementDecision::key).containsExactly(old.key());
   }
 
   @Test
-  void shouldWaitForAGoodSlotWhenTheFreeOneWouldMakeTheRequestLate() {
+  void shouldQueueForABetterSlotWhenTheFreeOneWouldMissTheObjective() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
-    PlacementDecision first = one(ask(300), 0);
-    PlacementDecision second = one(ask(300), 0);
+    PlacementDecision first = one(request(300), 0);
+    PlacementDecision second = one(request(300), 0);
     scheduler.report(end(first, AttemptOutcome.ANSWERED, 700), 90);
-    PlacementRequest next = ask(300);
+    PlacementRequest next = request(300);
     assertThat(one(next, 95)).isInstanceOf(PlacementDecision.Queued.class);
     assertThat(scheduler.report(end(second, AttemptOutcome.ANSWERED, 100), 100))
         .extracting(PlacementDecision::key)
@@ -159,60 +159,60 @@
   }
 
   @Test
-  void shouldUseASlowSlotWhenTheRequestIsLateAnyway() {
+  void shouldUseASlowUpstreamWhenTheObjectiveIsMissedAnyway() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    scheduler.report(end(one(ask(300), 0), AttemptOutcome.ANSWERED, 700), 90);
-    assertThat(placed(one(ask(0, 2_000), 95))).isEqualTo("a");
+    scheduler.report(end(one(request(300), 0), AttemptOutcome.ANSWERED, 700), 90);
+    assertThat(placedOn(one(request(0, 2_000), 95))).isEqualTo("a");
   }
 
   @Test
-  void shouldAvoidAnUpstreamWhenItHasJustSaidThatItIsSlow() {
+  void shouldAvoidAnUpstreamWhenItReportedASlowdown() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
-    PlacementDecision first = one(ask(0), 0);
-    String slow = placed(first);
+    PlacementDecision first = one(request(0), 0);
+    String slow = placedOn(first);
     scheduler.report(end(first, AttemptOutcome.ANSWERED, 700), 100);
-    assertThat(placed(one(ask(0), 110))).isNotEqualTo(slow);
+    assertThat(placedOn(one(request(0), 110))).isNotEqualTo(slow);
   }
 
   @Test
   void shouldAvoidAnUpstreamWhenARequestOnItIsOverdue() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
-    String hanging = placed(one(ask(0), 0));
+    String hanging = placedOn(one(request(0), 0));
     for (int i = 0; i < 3; i++) {
-      assertThat(placed(one(ask(0), 1_000 + i))).isNotEqualTo(hanging);
+      assertThat(placedOn(one(request(0), 1_000 + i))).isNotEqualTo(hanging);
     }
   }
 
   @Test
-  void shouldRestAnUpstreamAndTryItAgainWhenItKeepsFailing() {
+  void shouldBackOffAndTryAgainWhenAnUpstreamKeepsFailing() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0), upstream("b", 4, 0)), 0);
     for (int i = 0; i < 2; i++) {
-      PlacementRequest a = ask(0, "b");
+      PlacementRequest a = request(0, "b");
       scheduler.report(end(one(a, i), AttemptOutcome.BROKEN, 100), i);
     }
     List<String> soon = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      soon.add(placed(one(ask(0), 10)));
+      soon.add(placedOn(one(request(0), 10)));
     }
     assertThat(soon).doesNotContain("a");
-    assertThat(placed(one(ask(0, "b"), 600))).isEqualTo("a");
+    assertThat(placedOn(one(request(0, "b"), 600))).isEqualTo("a");
   }
 
   @Test
-  void shouldUseRestingUpstreamsWhenThereAreNoOthers() {
+  void shouldUseUpstreamsInBackoffWhenThereAreNoOthers() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0)), 0);
     for (int i = 0; i < 5; i++) {
-      scheduler.report(end(one(ask(0), i), AttemptOutcome.REFUSED, 100), i);
+      scheduler.report(end(one(request(0), i), AttemptOutcome.REFUSED, 100), i);
     }
-    assertThat(placed(one(ask(0), 6))).isEqualTo("a");
+    assertThat(placedOn(one(request(0), 6))).isEqualTo("a");
   }
 
   @Test
-  void shouldKeepItsPartOfTheColdBoundWhenAllUpstreamsAreCold() {
+  void shouldKeepItsShareOfTheWarmupLimitWhenAllUpstreamsAreCold() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 100, 3_000)), 0);
     int sent = 0;
     for (long now = 0; now < 1_000; now += 10) {
-      PlacementDecision v = one(ask(0), now);
+      PlacementDecision v = one(request(0), now);
       if (v instanceof PlacementDecision.Placed) {
         sent++;
         scheduler.report(end(v, AttemptOutcome.ANSWERED, 100), now + 5);
@@ -223,28 +223,28 @@
   }
 
   @Test
-  void shouldPreferTheAskersDataCentreWhenTheBodyIsLarge() {
+  void shouldPreferTheRequestingHostsDataCentreWhenTheBodyIsLarge() {
     UpstreamEntry far =
         new UpstreamEntry("far", "s", new Address("127.0.0.1", 80), "dc2", 4, false, 0, 1);
     scheduler.updateUpstreams(RULE, List.of(upstream("near", 4, 0), far), 0);
     var upload =
         new PlacementRequest(
             new PlacementKey(1, 1), "dc2", "r", 1, 300, 300, 1_000, 60_000, false, Set.of());
-    assertThat(placed(one(upload, 0))).isEqualTo("far");
+    assertThat(placedOn(one(upload, 0))).isEqualTo("far");
   }
 
-  private PlacementDecision spare(long nowMs, String... tried) {
+  private PlacementDecision submitHedge(long nowMs, String... tried) {
     var key = new PlacementKey(1, ++number);
     return one(
         new PlacementRequest(key, "dc", "r", 1, 300, 300, 1_000, 0, true, Set.of(tried)), nowMs);
   }
 
   @Test
-  void shouldAnswerAlikeWhenAnAskComesAgain() {
+  void shouldReturnTheSameDecisionWhenARequestIsSubmittedAgain() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0), upstream("b", 1, 0)), 0);
-    PlacementRequest first = ask(300);
-    PlacementRequest second = ask(300);
-    PlacementRequest third = ask(300);
+    PlacementRequest first = request(300);
+    PlacementRequest second = request(300);
+    PlacementRequest third = request(300);
     PlacementDecision place = one(first, 0);
     one(second, 0);
     assertThat(one(third, 0)).isInstanceOf(PlacementDecision.Queued.class);
@@ -257,44 +257,44 @@
   }
 
   @Test
-  void shouldPlaceASecondAttemptWhenASlotIsLeftOver() {
+  void shouldPlaceAHedgeWhenASlotIsSpare() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0)), 0);
-    assertThat(placed(spare(0, "a"))).isEqualTo("b");
+    assertThat(placedOn(submitHedge(0, "a"))).isEqualTo("b");
   }
 
   @Test
-  void shouldTurnASecondAttemptAwayAtOnceWhenNoSlotIsLeftOver() {
+  void shouldRejectAHedgeImmediatelyWhenNoSlotIsSpare() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    one(ask(300), 0);
-    assertThat(spare(0)).isInstanceOf(PlacementDecision.Rejected.class);
+    one(request(300), 0);
+    assertThat(submitHedge(0)).isInstanceOf(PlacementDecision.Rejected.class);
     assertThat(scheduler.hasQueuedRequests()).isFalse();
   }
 
   @Test
-  void shouldPreferAnUpstreamToWhichTheHostHasAConnection() {
+  void shouldPreferAnUpstreamWhenTheHostHasAConnectionToIt() {
     scheduler.updateUpstreams(
         RULE, List.of(upstream("a", 2, 0), upstream("b", 2, 0), upstream("c", 2, 0)), 0);
-    PlacementDecision first = one(ask(300), 0);
+    PlacementDecision first = one(request(300), 0);
     scheduler.report(end(first, AttemptOutcome.ANSWERED, 100), 90);
     scheduler.selectProbeTargets(90);
     for (String u : List.of("a", "b", "c")) {
       scheduler.recordProbeResponse(u, new ReportedLoad(0, 0, 2, 100), 95);
     }
-    assertThat(placed(one(ask(300), 100))).isEqualTo(placed(first));
+    assertThat(placedOn(one(request(300), 100))).isEqualTo(placedOn(first));
   }
 
   @Test
-  void shouldTurnAwayWhenEveryUpstreamWasTried() {
+  void shouldRejectWhenEveryUpstreamIsExcluded() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 4, 0)), 0);
-    assertThat(one(ask(300, "a"), 0)).isInstanceOf(PlacementDecision.Rejected.class);
+    assertThat(one(request(300, "a"), 0)).isInstanceOf(PlacementDecision.Rejected.class);
   }
 
   @Test
-  void shouldServeThoseFirstWhoCanStillBeOnTimeWhenSlotsAreShort() {
+  void shouldServeRequestsFirstThatCanMeetTheirObjectiveWhenSlotsAreScarce() {
     scheduler.updateUpstreams(RULE, List.of(upstream("a", 1, 0)), 0);
-    PlacementDecision running = one(ask(300), 0);
-    PlacementRequest late = ask(0);
-    PlacementRequest urgent = ask(300);
+    PlacementDecision running = one(request(300), 0);
+    PlacementRequest late = request(0);
+    PlacementRequest urgent = request(300);
     one(late, 0);
     one(urgent, 0);
     List<PlacementDecision> next =
--- a/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void shouldExpectTheVersionItReadWhenItCommits() {
+  void shouldExpectTheReadVersionWhenItCommits() {
     ChangePlan.Step.Commit c = commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20)));
     assertThat(c.routes()).containsExactly(row(5, 30, "a"));
   }
 
   @Test
-  void shouldShowBothSidesWhenAnotherEditWasFirst() {
+  void shouldReportBothRowsWhenAnotherEditWasCommittedFirst() {
     ChangePlan.Step s = plan("a", 30, OptionalLong.of(5)).nextStep(table(7, row(6, 25, "b")));
     EditOutcome o = ((ChangePlan.Step.Done) s).outcome();
     EditOutcome.ConflictSides sides = ((EditOutcome.Conflict) o).sides().get(0);
@@ -52,13 +52,13 @@
   }
 
   @Test
-  void shouldBeAcceptedOnceWhenItIsRepeatedAfterItWasApplied() {
+  void shouldBeAcceptedWithoutACommitWhenItWasAlreadyApplied() {
     ChangePlan.Step s = plan("a", 30, OptionalLong.of(5)).nextStep(table(9, row(8, 30, "a")));
     assertThat(((ChangePlan.Step.Done) s).outcome()).isEqualTo(new EditOutcome.Accepted(8));
   }
 
   @Test
-  void shouldKeepNothingWhenARowIsUnknownOrDoubled() {
+  void shouldNotBeAcceptedWhenARowIsUnknownOrDuplicated() {
     var values = new TreeMap<RouteColumn, Integer>();
     values.put(RouteColumn.LIMIT, 1);
     var known = new Edit(KEY, values, OptionalLong.empty());
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void shouldTellTheFateOfACommitWhoseAnswerWasLost() {
+  void shouldDetermineTheCommitStatusWhenTheResponseWasLost() {
     ChangePlan.Step.Commit c =
         commit(plan("a", 30, OptionalLong.empty()), table(7, row(5, 20, "older")));
     assertThat(c.statusIn(table(8, row(8, 30, "a", "older")))).isEqualTo(CommitStatus.APPLIED);
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptStateTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptStateTest.java
@@ -10,7 +10,7 @@
 class AttemptStateTest {
 
   @Property(tries = 2_000, seed = "5")
-  void shouldTellNotRunOnlyWhenNothingWasSentOrTheUpstreamSaidSo(
+  void shouldReportNotRunOnlyWhenNothingWasSentOrTheUpstreamRefused(
       @ForAll @Size(max = 8) List<AttemptEvent> events,
       @ForAll boolean idempotent,
       @ForAll boolean replayable,
@@ -33,7 +33,7 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void shouldAllowAtMostItsShareWhenEveryAttemptFails(
+  void shouldLimitRetriesToTheirShareWhenEveryAttemptFails(
       @ForAll @Size(min = 1, max = 400) List<Boolean> calls) {
     var budget = new RetryBudget(0.1, 5);
     long retries = 0;
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptSteps.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/AttemptSteps.java
@@ -6,12 +6,12 @@
 import io.cucumber.java.en.Then;
 import io.cucumber.java.en.When;
 
-/** Steps of the table on attempts. */
+/** Steps of the feature on attempts. */
 public final class AttemptSteps {
   private boolean idempotent;
   private boolean replayable;
-  private boolean left;
-  private boolean neverPossiblyRun = true;
+  private boolean retryAllowed;
+  private boolean earlierAttemptsNotRun = true;
   private AttemptState state = AttemptState.NOT_SENT;
 
   /** Sets the request's method and body. */
@@ -24,16 +24,16 @@
   /** Sets whether more attempts are allowed. */
   @Given("^(more|no) attempts left$")
   public void attempts(String which) {
-    left = which.equals("more");
+    retryAllowed = which.equals("more");
   }
 
-  /** Notes an earlier attempt. */
+  /** Records an earlier attempt. */
   @Given("an earlier attempt that may have run")
   public void earlier() {
-    neverPossiblyRun = false;
+    earlierAttemptsNotRun = false;
   }
 
-  /** Plays the events. */
+  /** Applies the events. */
   @When("^an attempt sees ([A-Z_,]+)$")
   public void events(String events) {
     for (String e : events.split(",")) {
@@ -42,9 +42,10 @@
   }
 
   /** Checks the decision. */
-  @Then("^the next step is ([A-Z_]+)$")
-  public void step(String step) {
-    var traits = new RetryConditions(idempotent, replayable, left, neverPossiblyRun);
-    assertThat(state.decideAfterFailure(traits)).isEqualTo(RetryDecision.valueOf(step));
+  @Then("^the decision is ([A-Z_]+)$")
+  public void decision(String decision) {
+    var conditions =
+        new RetryConditions(idempotent, replayable, retryAllowed, earlierAttemptsNotRun);
+    assertThat(state.decideAfterFailure(conditions)).isEqualTo(RetryDecision.valueOf(decision));
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/retries/RepeatWindowTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/retries/RetryWindowTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RepeatWindowTest {
+class RetryWindowTest {
   @Test
-  void shouldKeepTheBoundInEveryWindowWhenEveryRequestWantsARepeat() {
+  void shouldStayWithinTheLimitInEveryWindowWhenEveryRequestIsRetried() {
     var window = new RetryWindow(10_000, 0.2);
     List<Long> requests = new ArrayList<>();
     List<Long> repeats = new ArrayList<>();
     for (long now = 0; now < 60_000; now += 37) {
-      // A pause in the middle lets old requests leave the window before their repeats.
+      // A pause in the middle lets old requests leave the window before their retries.
       if (now < 20_000 || now > 33_000) {
         window.recordRequest(now);
         requests.add(now);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void shouldAllowTheAllowanceAndNoMoreWhenThereAreNoRequests() {
+  void shouldAllowOnlyTheExtraRetriesWhenThereAreNoRequests() {
     var window = new RetryWindow(10_000, 0.2);
     assertThat(window.tryAcquireRetry(2, 5)).isTrue();
     assertThat(window.tryAcquireRetry(2, 6)).isTrue();
--- a/decisions/src/test/java/dev/cactusstack/decisions/state/UpstreamSteps.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/state/UpstreamSteps.java
@@ -6,15 +6,15 @@
 import io.cucumber.java.en.Then;
 import io.cucumber.java.en.When;
 
-/** Steps of the table on upstreams. */
+/** Steps of the feature on upstreams. */
 public final class UpstreamSteps {
   private static final int OPERATOR_LIMIT = 4;
-  private static final long PAUSE_MS = 60_000;
+  private static final long BACKOFF_MS = 60_000;
 
   private UpstreamHealth health = UpstreamHealth.INITIAL;
   private long nowMs = 1_000;
 
-  /** Sets the state to start from. */
+  /** Sets the initial state. */
   @Given("^an upstream that is (new|warm)$")
   public void upstream(String state) {
     if (state.equals("warm")) {
@@ -22,22 +22,22 @@
     }
   }
 
-  /** Plays evidence; a star repeats. */
+  /** Applies observations; a factor after an asterisk repeats one. */
   @When("^it shows (.+)$")
-  public void show(String evidence) {
-    for (String e : evidence.split(",")) {
+  public void show(String observations) {
+    for (String e : observations.split(",")) {
       String[] parts = e.split("\\*");
       int times = parts.length == 1 ? 1 : Integer.parseInt(parts[1]);
       for (int i = 0; i < times; i++) {
-        one(parts[0]);
+        observeNamed(parts[0]);
       }
     }
   }
 
-  private void one(String e) {
+  private void observeNamed(String e) {
     switch (e) {
       case "nothing" -> {}
-      case "pause" -> nowMs += PAUSE_MS;
+      case "pause" -> nowMs += BACKOFF_MS;
       case "success" -> observe(new Observation.Success(10, false));
       case "warm" -> observe(new Observation.Success(10, true));
       case "error" -> observe(new Observation.ServerError(1));
@@ -56,7 +56,7 @@
     health = health.observe(e, nowMs);
   }
 
-  /** Checks the belief. */
+  /** Checks the state and the limit. */
   @Then("^it is ([A-Z]+) with a limit of (\\d+) of 4$")
   public void check(String state, int limit) {
     assertThat(health.state()).isEqualTo(UpstreamState.valueOf(state));
