--- a/bench/src/main/java/dev/cactusstack/bench/AlonePolicy.java
+++ b/bench/src/main/java/dev/cactusstack/bench/AlonePolicy.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.bench;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
-import dev.cactusstack.decisions.routing.UpstreamView;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
+import dev.cactusstack.decisions.routing.UpstreamSnapshot;
 import dev.cactusstack.standin.UpstreamStandIn;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  */
 final class AlonePolicy implements Policy {
   private final LoadClient client;
-  private final PickPolicy picks;
+  private final LoadBalancingPolicy picks;
   private final List<Map<String, Group>> hosts = new ArrayList<>();
 
   /** One host's view of a service's upstreams. */
@@ -25,10 +25,10 @@
     private final List<AtomicInteger> inFlight = new ArrayList<>();
     private final AtomicInteger turn = new AtomicInteger();
 
-    synchronized int pick(PickPolicy picks) {
-      List<UpstreamView> views =
+    synchronized int pick(LoadBalancingPolicy picks) {
+      List<UpstreamSnapshot> views =
           inFlight.stream()
-              .map(n -> new UpstreamView(n.get(), Integer.MAX_VALUE, 1, 0, 0, 0))
+              .map(n -> new UpstreamSnapshot(n.get(), Integer.MAX_VALUE, 1, 0, 0, 0))
               .toList();
       int at = picks.pick(views, turn.getAndIncrement(), 1).orElseThrow();
       inFlight.get(at).incrementAndGet();
@@ -36,7 +36,7 @@
     }
   }
 
-  AlonePolicy(LoadClient client, PickPolicy picks, List<UpstreamStandIn> upstreams, int hostCount) {
+  AlonePolicy(LoadClient client, LoadBalancingPolicy picks, List<UpstreamStandIn> upstreams, int hostCount) {
     this.client = client;
     this.picks = picks;
     for (int i = 0; i < hostCount; i++) {
--- a/bench/src/main/java/dev/cactusstack/bench/ConfigurationScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ConfigurationScenario.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.standin.PlatformFaults;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
@@ -100,7 +100,7 @@
   }
 
   private static int weight(EntryHost h, RouteKey key) {
-    Table t = h.controllers().configuration().inForce();
+    ConfigurationTable t = h.controllers().configuration().inForce();
     return t.route(key).map(r -> r.weight()).orElse(-1);
   }
 
--- a/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
+++ b/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberInfo;
 import dev.cactusstack.decisions.membership.MemberStatus;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.callers.ArrivalCounter;
 import dev.cactusstack.host.control.ConfigurationController;
 import dev.cactusstack.host.control.ControlLoop;
@@ -20,7 +20,7 @@
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.storage.HostChanges;
 import dev.cactusstack.storage.TableStore;
 import java.lang.management.ManagementFactory;
@@ -62,7 +62,7 @@
             members,
             loop,
             Ticker.SYSTEM,
-            PickPolicy.EXPECTED_ANSWER,
+            LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             256);
     var rates = new RatesController(new ArrivalCounter(), members, Ticker.SYSTEM);
     var controllers = new Controllers(loop, members, configuration, upstreams, rates);
@@ -111,7 +111,7 @@
     return new ServiceName("service-" + i);
   }
 
-  private static Table table(int services, int dataCentres) {
+  private static ConfigurationTable table(int services, int dataCentres) {
     var routes = new TreeMap<RouteKey, Route>();
     var rows = new TreeMap<DataCentre, DataCentreRow>();
     for (int d = 0; d < dataCentres; d++) {
@@ -121,7 +121,7 @@
         routes.put(key, new Route(key, 20, 40, 4, 1, List.of("first-operation")));
       }
     }
-    return new Table(1, routes, rows);
+    return new ConfigurationTable(1, routes, rows);
   }
 
   private static List<ListedHost> hosts(int services, int dataCentres, int servers) {
@@ -155,15 +155,15 @@
 
   /** A table in which each read finds one row changed. Confined to the loop's reads. */
   private static final class ChangingStore implements TableStore {
-    private final Table first;
+    private final ConfigurationTable first;
     private long version = 1;
 
-    ChangingStore(Table first) {
+    ChangingStore(ConfigurationTable first) {
       this.first = first;
     }
 
     @Override
-    public synchronized CompletableFuture<Table> changesAfter(long revision) {
+    public synchronized CompletableFuture<ConfigurationTable> changesAfter(long revision) {
       if (revision == 0) {
         return CompletableFuture.completedFuture(first);
       }
@@ -172,7 +172,7 @@
       var rows = new TreeMap<RouteKey, Route>();
       int weight = (int) (version % 100);
       rows.put(r.key(), new Route(r.key(), weight, 40, 4, version, List.of("op")));
-      return CompletableFuture.completedFuture(new Table(version, rows, new TreeMap<>()));
+      return CompletableFuture.completedFuture(new ConfigurationTable(version, rows, new TreeMap<>()));
     }
 
     @Override
--- a/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.bench;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.FreePorts;
 import dev.cactusstack.embedded.Site;
@@ -34,7 +34,7 @@
   public ResultLine run(BenchOptions o) throws Exception {
     try (Site site = Site.startWith(Deployment.QAZYNA, Site.QUICK, o.seed());
         var client = new LoadClient(3, TIMEOUT_MS);
-        var hosts = EmbeddedHosts.start(site, 1, 0, 0, PickPolicy.EXPECTED_ANSWER, Map.of(), "")) {
+        var hosts = EmbeddedHosts.start(site, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
       if (!hosts.awaitReady(READY_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
@@ -70,7 +70,7 @@
   static double hostCallsPerCore(BenchOptions o) throws Exception {
     try (Site site = Site.startWith(Deployment.QAZYNA, Site.QUICK, o.seed());
         var client = new LoadClient(3, TIMEOUT_MS);
-        var hosts = EmbeddedHosts.start(site, 1, 0, 0, PickPolicy.EXPECTED_ANSWER, Map.of(), "")) {
+        var hosts = EmbeddedHosts.start(site, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
       if (!hosts.awaitReady(READY_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
--- a/bench/src/main/java/dev/cactusstack/bench/Stage.java
+++ b/bench/src/main/java/dev/cactusstack/bench/Stage.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.bench;
 
 import dev.cactusstack.ctl.CtlMain;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.Site;
 import dev.cactusstack.host.EntryHost;
@@ -40,7 +40,7 @@
             o.deployment().entryHosts() * o.scale(),
             0,
             0,
-            PickPolicy.EXPECTED_ANSWER,
+            LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             Map.of(),
             settings);
     client = new LoadClient(2, CALL_TIMEOUT_MS);
--- a/bench/src/main/java/dev/cactusstack/bench/TailScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/TailScenario.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.bench;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.Site;
 import dev.cactusstack.standin.UpstreamStandIn;
@@ -32,16 +32,16 @@
               o,
               "round-robin",
               site,
-              new AlonePolicy(client, PickPolicy.ROUND_ROBIN, ups, hostCount));
+              new AlonePolicy(client, LoadBalancingPolicy.ROUND_ROBIN, ups, hostCount));
       Phase leastLoaded =
           play(
               o,
               "least-loaded",
               site,
-              new AlonePolicy(client, PickPolicy.LEAST_LOADED, ups, hostCount));
+              new AlonePolicy(client, LoadBalancingPolicy.LEAST_LOADED, ups, hostCount));
       Phase allKnowing = play(o, "all-knowing", site, new AllKnowingPolicy(client, ups));
       try (var hosts =
-          EmbeddedHosts.start(site, hostCount, 0, 0, PickPolicy.EXPECTED_ANSWER, Map.of(), "")) {
+          EmbeddedHosts.start(site, hostCount, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
         if (!hosts.awaitReady(READY_MS)) {
           throw new IllegalStateException("the entry hosts are not ready");
         }
--- a/decisions/src/main/java/dev/cactusstack/decisions/directory/DirectoryPolicy.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/directory/DirectoryPolicy.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.directory;
 
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -11,10 +11,10 @@
  * the caller's data centre while enough hosts live there, and a few of others make up for those
  * that are missing. Immutable and thread-safe.
  *
- * @param enough hosts that a caller needs to survive the loss of some
- * @param most hosts that are named at most
+ * @param minHosts hosts that a caller needs to survive the loss of some
+ * @param maxHosts hosts that are named at most
  */
-public record DirectoryPolicy(int enough, int most) {
+public record DirectoryPolicy(int minHosts, int maxHosts) {
   /**
    * Chooses hosts.
    *
@@ -23,21 +23,21 @@
    * @param random spreads callers over hosts
    * @return hosts of the caller's data centre first; empty only when no host is usable
    */
-  public List<HostEntry> choose(List<HostEntry> usable, String dataCentre, RandomGenerator random) {
-    List<HostEntry> near = new ArrayList<>();
-    List<HostEntry> far = new ArrayList<>();
-    for (HostEntry e : usable) {
+  public List<HostRegistration> choose(List<HostRegistration> usable, String dataCentre, RandomGenerator random) {
+    List<HostRegistration> near = new ArrayList<>();
+    List<HostRegistration> far = new ArrayList<>();
+    for (HostRegistration e : usable) {
       (e.dataCentre().equals(dataCentre) ? near : far).add(e);
     }
     shuffle(near, random);
     shuffle(far, random);
-    int missing = Math.max(0, enough - near.size());
-    List<HostEntry> out = new ArrayList<>(near.subList(0, Math.min(most, near.size())));
+    int missing = Math.max(0, minHosts - near.size());
+    List<HostRegistration> out = new ArrayList<>(near.subList(0, Math.min(maxHosts, near.size())));
     out.addAll(far.subList(0, Math.min(missing, far.size())));
     return out;
   }
 
-  private static void shuffle(List<HostEntry> hosts, RandomGenerator random) {
+  private static void shuffle(List<HostRegistration> hosts, RandomGenerator random) {
     for (int i = hosts.size() - 1; i > 0; i--) {
       Collections.swap(hosts, i, random.nextInt(i + 1));
     }
--- a/decisions/src/main/java/dev/cactusstack/decisions/gossip/ReaderChoice.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/gossip/ConfigurationReaders.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.decisions.gossip;
 
-import dev.cactusstack.decisions.routing.Rendezvous;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.decisions.routing.RendezvousHash;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.Collection;
 import java.util.List;
 
@@ -10,9 +10,9 @@
  * data centre has readers of its own, so that it goes on when it loses sight of the others.
  * Immutable and thread-safe.
  *
- * @param inEachDataCentre readers in each data centre
+ * @param readersPerDataCentre readers in each data centre
  */
-public record ReaderChoice(int inEachDataCentre) {
+public record ConfigurationReaders(int readersPerDataCentre) {
   private static final String KEY = "configuration";
 
   /**
@@ -22,17 +22,17 @@
    * @param able hosts that are alive and reach the store, as far as is known
    * @return true when it is one, whether it reaches the store or not
    */
-  public boolean reads(HostEntry host, Collection<HostEntry> able) {
+  public boolean isReader(HostRegistration host, Collection<HostRegistration> able) {
     List<String> near =
         able.stream()
             .filter(e -> e.dataCentre().equals(host.dataCentre()) && !e.name().equals(host.name()))
-            .map(HostEntry::name)
+            .map(HostRegistration::name)
             .toList();
-    List<String> others = Rendezvous.ranked(KEY, near, inEachDataCentre);
-    if (others.size() < inEachDataCentre) {
+    List<String> others = RendezvousHash.ranked(KEY, near, readersPerDataCentre);
+    if (others.size() < readersPerDataCentre) {
       return true;
     }
     String last = others.get(others.size() - 1);
-    return Rendezvous.first(KEY, List.of(host.name(), last)).orElseThrow().equals(host.name());
+    return RendezvousHash.first(KEY, List.of(host.name(), last)).orElseThrow().equals(host.name());
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/gossip/PeerTable.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/gossip/PeerTable.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.gossip;
 
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
   private final RandomGenerator random;
   private final Map<Integer, Peer> peers = new HashMap<>();
   private final int self;
-  private Pulse own;
+  private HeartbeatState own;
 
   /**
    * Creates a table that knows this host only.
@@ -36,7 +36,7 @@
     this.self = hash(selfName);
     this.deadAfterMs = deadAfterMs;
     this.random = random;
-    this.own = new Pulse(self, 0, 0, false, true, false);
+    this.own = new HeartbeatState(self, 0, 0, false, true, false);
   }
 
   /**
@@ -57,17 +57,17 @@
    * @param nowMs the present time on a steady clock, in milliseconds
    * @return true when this start was not known
    */
-  public boolean learn(HostEntry e, long nowMs) {
+  public boolean recordStart(HostRegistration e, long nowMs) {
     int id = hash(e.name());
     Peer p = peers.get(id);
     if (p != null && p.entry.incarnation() >= e.incarnation()) {
       return false;
     }
-    peers.put(id, new Peer(e, new Pulse(id, e.incarnation(), 0, false, false, false), nowMs));
+    peers.put(id, new Peer(e, new HeartbeatState(id, e.incarnation(), 0, false, false, false), nowMs));
     if (id == self) {
       own =
-          new Pulse(
-              self, e.incarnation(), own.beat(), own.leaving(), own.informed(), own.knowing());
+          new HeartbeatState(
+              self, e.incarnation(), own.counter(), own.leaving(), own.reachesStore(), own.knowsUpstreams());
     }
     return true;
   }
@@ -80,8 +80,8 @@
    * @param nowMs the present time on the same clock
    * @return their entries, this host's own first
    */
-  public List<HostEntry> news(long newerThanMs, int count, long nowMs) {
-    List<HostEntry> out = new ArrayList<>();
+  public List<HostRegistration> recentlyStarted(long newerThanMs, int count, long nowMs) {
+    List<HostRegistration> out = new ArrayList<>();
     Peer me = peers.get(self);
     if (me != null) {
       out.add(me.entry);
@@ -102,12 +102,12 @@
    * @param nowMs the present time on the same clock
    * @return the counters to tell
    */
-  public List<Pulse> round(boolean informed, boolean knowing, long nowMs) {
-    own = new Pulse(self, own.incarnation(), own.beat() + 1, own.leaving(), informed, knowing);
-    List<Pulse> out = new ArrayList<>();
+  public List<HeartbeatState> startRound(boolean informed, boolean knowing, long nowMs) {
+    own = new HeartbeatState(self, own.incarnation(), own.counter() + 1, own.leaving(), informed, knowing);
+    List<HeartbeatState> out = new ArrayList<>();
     out.add(own);
     for (Peer p : peers.values()) {
-      if (p.pulse.host() != self && alive(p, nowMs)) {
+      if (p.pulse.hostHash() != self && alive(p, nowMs)) {
         out.add(p.pulse);
       }
     }
@@ -122,11 +122,11 @@
    * @param nowMs the present time on the same clock
    * @return registered hosts other than this one, without repetition
    */
-  public List<HostEntry> targets(int count, long nowMs) {
-    List<HostEntry> others = new ArrayList<>();
-    peers.values().stream().filter(p -> p.pulse.host() != self).forEach(p -> others.add(p.entry));
-    List<HostEntry> near = others.stream().filter(this::near).toList();
-    List<HostEntry> out = chosen(near, count - 1);
+  public List<HostRegistration> gossipTargets(int count, long nowMs) {
+    List<HostRegistration> others = new ArrayList<>();
+    peers.values().stream().filter(p -> p.pulse.hostHash() != self).forEach(p -> others.add(p.entry));
+    List<HostRegistration> near = others.stream().filter(this::near).toList();
+    List<HostRegistration> out = chosen(near, count - 1);
     others.removeAll(out);
     out.addAll(chosen(others, count - out.size()));
     return out;
@@ -139,22 +139,22 @@
    * @param nowMs the present time on the same clock
    * @return usable hosts other than this one, without repetition
    */
-  public List<HostEntry> nearTargets(int count, long nowMs) {
-    List<HostEntry> near =
-        usable(nowMs).stream().filter(e -> near(e) && hash(e.name()) != self).toList();
+  public List<HostRegistration> localTargets(int count, long nowMs) {
+    List<HostRegistration> near =
+        usableHosts(nowMs).stream().filter(e -> near(e) && hash(e.name()) != self).toList();
     return chosen(near, count);
   }
 
-  private boolean near(HostEntry e) {
+  private boolean near(HostRegistration e) {
     Peer me = peers.get(self);
     return me != null && me.entry.dataCentre().equals(e.dataCentre());
   }
 
-  private List<HostEntry> chosen(List<HostEntry> from, int count) {
-    List<HostEntry> others = new ArrayList<>(from);
+  private List<HostRegistration> chosen(List<HostRegistration> from, int count) {
+    List<HostRegistration> others = new ArrayList<>(from);
     for (int i = 0; i < Math.min(count, others.size()); i++) {
       int j = i + random.nextInt(others.size() - i);
-      HostEntry e = others.get(j);
+      HostRegistration e = others.get(j);
       others.set(j, others.get(i));
       others.set(i, e);
     }
@@ -167,13 +167,13 @@
    * @param pulses the counters
    * @param nowMs the present time on the same clock
    */
-  public void heard(List<Pulse> pulses, long nowMs) {
-    for (Pulse p : pulses) {
-      Peer known = peers.get(p.host());
+  public void mergeHeartbeats(List<HeartbeatState> pulses, long nowMs) {
+    for (HeartbeatState p : pulses) {
+      Peer known = peers.get(p.hostHash());
       if (known == null || p.incarnation() != known.entry.incarnation()) {
         continue;
       }
-      if (p.newerThan(known.pulse)) {
+      if (p.isNewerThan(known.pulse)) {
         known.pulse = p;
         known.risenMs = nowMs;
       }
@@ -181,8 +181,8 @@
   }
 
   /** Begins to tell that this host is leaving. */
-  public void leave() {
-    own = new Pulse(self, own.incarnation(), own.beat(), true, own.informed(), own.knowing());
+  public void markLeaving() {
+    own = new HeartbeatState(self, own.incarnation(), own.counter(), true, own.reachesStore(), own.knowsUpstreams());
   }
 
   /**
@@ -191,11 +191,11 @@
    * @param nowMs the present time on the same clock
    * @return registered hosts that are alive and not leaving, this one among them unless it leaves
    */
-  public List<HostEntry> usable(long nowMs) {
-    List<HostEntry> out = new ArrayList<>();
+  public List<HostRegistration> usableHosts(long nowMs) {
+    List<HostRegistration> out = new ArrayList<>();
     for (Peer p : peers.values()) {
-      boolean leaving = p.pulse.host() == self ? own.leaving() : p.pulse.leaving();
-      if (!leaving && (p.pulse.host() == self || alive(p, nowMs))) {
+      boolean leaving = p.pulse.hostHash() == self ? own.leaving() : p.pulse.leaving();
+      if (!leaving && (p.pulse.hostHash() == self || alive(p, nowMs))) {
         out.add(p.entry);
       }
     }
@@ -209,19 +209,19 @@
    * @param nowMs the present time on the same clock
    * @return hosts that can be used
    */
-  public List<HostEntry> schedulers(long nowMs) {
-    List<HostEntry> usable = usable(nowMs);
-    if (own.informed() || othersInformed(nowMs)) {
+  public List<HostRegistration> eligibleSchedulers(long nowMs) {
+    List<HostRegistration> usable = usableHosts(nowMs);
+    if (own.reachesStore() || anotherHostReachesStore(nowMs)) {
       return usable;
     }
-    List<HostEntry> knowing = usable.stream().filter(this::knowing).toList();
+    List<HostRegistration> knowing = usable.stream().filter(this::knowing).toList();
     return knowing.isEmpty() ? usable : knowing;
   }
 
-  private boolean knowing(HostEntry e) {
+  private boolean knowing(HostRegistration e) {
     int id = hash(e.name());
     Peer p = peers.get(id);
-    return id == self ? own.knowing() : p != null && p.pulse.knowing();
+    return id == self ? own.knowsUpstreams() : p != null && p.pulse.knowsUpstreams();
   }
 
   /**
@@ -230,8 +230,8 @@
    * @param nowMs the present time on the same clock
    * @return true when a usable host other than this one has said so
    */
-  public boolean othersInformed(long nowMs) {
-    return peers.values().stream().anyMatch(p -> informed(p, nowMs));
+  public boolean anotherHostReachesStore(long nowMs) {
+    return peers.values().stream().anyMatch(p -> reachingStore(p, nowMs));
   }
 
   /**
@@ -240,12 +240,12 @@
    * @param nowMs the present time on the same clock
    * @return their entries
    */
-  public List<HostEntry> informed(long nowMs) {
-    return peers.values().stream().filter(p -> informed(p, nowMs)).map(p -> p.entry).toList();
+  public List<HostRegistration> reachingStore(long nowMs) {
+    return peers.values().stream().filter(p -> reachingStore(p, nowMs)).map(p -> p.entry).toList();
   }
 
-  private boolean informed(Peer p, long nowMs) {
-    return p.pulse.host() != self && p.pulse.informed() && !p.pulse.leaving() && alive(p, nowMs);
+  private boolean reachingStore(Peer p, long nowMs) {
+    return p.pulse.hostHash() != self && p.pulse.reachesStore() && !p.pulse.leaving() && alive(p, nowMs);
   }
 
   /**
@@ -263,7 +263,7 @@
    * @param host hash of its name
    * @return its entry
    */
-  public Optional<HostEntry> find(int host) {
+  public Optional<HostRegistration> find(int host) {
     return Optional.ofNullable(peers.get(host)).map(p -> p.entry);
   }
 
@@ -272,12 +272,12 @@
   }
 
   private static final class Peer {
-    private final HostEntry entry;
+    private final HostRegistration entry;
     private final long learnedMs;
-    private Pulse pulse;
+    private HeartbeatState pulse;
     private long risenMs = NEVER;
 
-    Peer(HostEntry entry, Pulse pulse, long nowMs) {
+    Peer(HostRegistration entry, HeartbeatState pulse, long nowMs) {
       this.entry = entry;
       this.pulse = pulse;
       this.learnedMs = nowMs;
--- a/decisions/src/main/java/dev/cactusstack/decisions/limits/SpendingLimit.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/limits/TokenBucket.java
@@ -6,14 +6,14 @@
  * <p>Invariant: over any period, what is allowed is at most the burst plus the rate times the
  * period. Thread-safe.
  */
-public final class SpendingLimit {
+public final class TokenBucket {
   private static final double MS_PER_SECOND = 1_000;
 
   private final double perSecond;
   private final double burst;
   private double balance;
   private long lastMs;
-  private long refused;
+  private long rejectedCount;
 
   /**
    * Creates a limit with a full burst.
@@ -22,7 +22,7 @@
    * @param burst units that may be spent at once after a quiet time
    * @param nowMs the present time, in milliseconds on a steady clock
    */
-  public SpendingLimit(double perSecond, double burst, long nowMs) {
+  public TokenBucket(double perSecond, double burst, long nowMs) {
     if (perSecond <= 0 || burst <= 0) {
       throw new IllegalArgumentException("rate and burst must be positive");
     }
@@ -39,12 +39,12 @@
    * @param nowMs the present time on the clock of the constructor
    * @return false when the limit does not allow it; nothing is spent then
    */
-  public synchronized boolean spend(double units, long nowMs) {
+  public synchronized boolean tryAcquire(double units, long nowMs) {
     long elapsed = Math.max(0, nowMs - lastMs);
     balance = Math.min(burst, balance + elapsed * perSecond / MS_PER_SECOND);
     lastMs = Math.max(lastMs, nowMs);
     if (units > balance) {
-      refused++;
+      rejectedCount++;
       return false;
     }
     balance -= units;
@@ -56,7 +56,7 @@
    *
    * @return the count
    */
-  public synchronized long refused() {
-    return refused;
+  public synchronized long rejectedCount() {
+    return rejectedCount;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/matching/RouteTable.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/matching/RouteMatcher.java
@@ -13,7 +13,7 @@
  * Finds the route of a request: of the routes of its host name, the one with the longest prefix
  * that begins the path. Immutable and thread-safe.
  */
-public final class RouteTable {
+public final class RouteMatcher {
   private final Map<String, List<RouteRule>> byHost;
 
   /**
@@ -21,7 +21,7 @@
    *
    * @param routes the routes in force
    */
-  public RouteTable(List<RouteRule> routes) {
+  public RouteMatcher(List<RouteRule> routes) {
     Map<String, List<RouteRule>> index = new HashMap<>();
     for (RouteRule r : routes) {
       index.computeIfAbsent(r.host(), h -> new ArrayList<>()).add(r);
--- a/decisions/src/main/java/dev/cactusstack/decisions/matching/WeightedParts.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/matching/WeightedRoundRobin.java
@@ -12,7 +12,7 @@
  *
  * <p>A change of the weights starts the shares of that route anew. Confined to one thread.
  */
-public final class WeightedParts {
+public final class WeightedRoundRobin {
   private final Map<String, Turn> turns = new HashMap<>();
 
   /**
@@ -22,7 +22,7 @@
    * @return the service's name
    */
   public String next(RouteRule route) {
-    List<RouteRule.Part> parts = route.parts();
+    List<RouteRule.WeightedService> parts = route.weightedServices();
     if (parts.size() == 1) {
       return parts.get(0).service();
     }
@@ -35,14 +35,14 @@
   }
 
   private static final class Turn {
-    private final List<RouteRule.Part> parts;
+    private final List<RouteRule.WeightedService> parts;
     private final double[] credit;
     private final double total;
 
-    Turn(List<RouteRule.Part> parts) {
+    Turn(List<RouteRule.WeightedService> parts) {
       this.parts = parts;
       this.credit = new double[parts.size()];
-      this.total = parts.stream().mapToDouble(RouteRule.Part::weight).sum();
+      this.total = parts.stream().mapToDouble(RouteRule.WeightedService::weight).sum();
     }
 
     String next() {
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementDecision.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/PlacementDecision.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 
 /** A scheduler's decision on a placement request. Implementations are immutable. */
 public sealed interface PlacementDecision {
@@ -18,7 +18,7 @@
    * @param key the placement request
    * @param upstream the upstream to send the request to
    */
-  record Placed(PlacementKey key, UpstreamEntry upstream) implements PlacementDecision {}
+  record Placed(PlacementKey key, UpstreamRegistration upstream) implements PlacementDecision {}
 
   /**
    * The request cannot be served in time.
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/ResponseTimeEstimator.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/ResponseTimeEstimator.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 
 /**
  * Estimates the response time of a request on an upstream.
@@ -36,7 +36,7 @@
         + connectionMs(load, request, nowMs);
   }
 
-  private double transferMs(UpstreamEntry upstream, PlacementRequest request) {
+  private double transferMs(UpstreamRegistration upstream, PlacementRequest request) {
     if (isSameDataCentre(upstream, request)) {
       return 0;
     }
@@ -58,7 +58,7 @@
             : settings.crossDataCentreRoundTripMs());
   }
 
-  private static boolean isSameDataCentre(UpstreamEntry upstream, PlacementRequest request) {
+  private static boolean isSameDataCentre(UpstreamRegistration upstream, PlacementRequest request) {
     return upstream.dataCentre().equals(request.dataCentre());
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/Scheduler.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.ServiceRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.ServiceSettings;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -62,10 +62,10 @@
    * @param nowMs the current time on a monotonic clock, in milliseconds
    */
   public void updateUpstreams(
-      ServiceRule serviceSettings, Collection<UpstreamEntry> usable, long nowMs) {
-    warmupLimit = settings.warmupRequestLimit(serviceSettings.coldPerSecond());
+      ServiceSettings serviceSettings, Collection<UpstreamRegistration> usable, long nowMs) {
+    warmupLimit = settings.warmupRequestLimit(serviceSettings.warmupRequestsPerSecond());
     Map<String, UpstreamLoad> nextLoads = new HashMap<>();
-    for (UpstreamEntry usableUpstream : usable) {
+    for (UpstreamRegistration usableUpstream : usable) {
       UpstreamLoad load = loads.get(usableUpstream.id());
       if (load == null) {
         load = new UpstreamLoad(usableUpstream, nowMs);
@@ -197,7 +197,7 @@
    * @param nowMs the current time on the same clock
    * @return the upstreams to probe now, those with the oldest report first
    */
-  public List<UpstreamEntry> selectProbeTargets(long nowMs) {
+  public List<UpstreamRegistration> selectProbeTargets(long nowMs) {
     List<UpstreamLoad> stale = new ArrayList<>();
     int good = 0;
     for (UpstreamLoad upstream : loads.values()) {
@@ -209,7 +209,7 @@
     }
     int wanted = (int) Math.ceil(arrivalRate(nowMs) * LOAD_FRESHNESS_MS) - good;
     stale.sort(Comparator.comparingLong(upstream -> -upstream.slowdownAgeMs(nowMs)));
-    List<UpstreamEntry> targets = new ArrayList<>();
+    List<UpstreamRegistration> targets = new ArrayList<>();
     for (UpstreamLoad upstream : stale.subList(0, Math.max(0, Math.min(wanted, stale.size())))) {
       upstream.recordProbeSent(nowMs);
       targets.add(upstream.registration());
--- a/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/placing/UpstreamLoad.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.placing;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -28,7 +28,7 @@
   private final Map<PlacementKey, HeldSlot> heldSlots = new HashMap<>();
   private final Map<Integer, Long> lastResponseByHost = new HashMap<>();
   private final WarmupRateLimiter warmupRateLimiter = new WarmupRateLimiter();
-  private UpstreamEntry registration;
+  private UpstreamRegistration registration;
   private long coldUntilMs;
   private double reportedSlowdown = 1;
   private long slowdownReportedAtMs = Long.MIN_VALUE / 2;
@@ -39,17 +39,17 @@
   private int consecutiveBackoffs;
   private long backoffUntilMs = Long.MIN_VALUE / 2;
 
-  UpstreamLoad(UpstreamEntry registration, long nowMs) {
+  UpstreamLoad(UpstreamRegistration registration, long nowMs) {
     this.registration = registration;
-    this.coldUntilMs = nowMs + registration.coldForMs();
+    this.coldUntilMs = nowMs + registration.warmupRemainingMs();
   }
 
-  UpstreamEntry registration() {
+  UpstreamRegistration registration() {
     return registration;
   }
 
-  void updateRegistration(UpstreamEntry next, long nowMs) {
-    if (!next.sameIncarnation(registration)) {
+  void updateRegistration(UpstreamRegistration next, long nowMs) {
+    if (!next.isSameIncarnation(registration)) {
       heldSlots.clear();
       lastResponseByHost.clear();
       faultRate = 0;
@@ -57,7 +57,7 @@
       backoffUntilMs = nowMs;
     }
     registration = next;
-    coldUntilMs = Math.max(coldUntilMs, nowMs + next.coldForMs());
+    coldUntilMs = Math.max(coldUntilMs, nowMs + next.warmupRemainingMs());
   }
 
   boolean isCold(long nowMs) {
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/ChangePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/ChangePlan.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.List;
 import java.util.Objects;
 import java.util.OptionalLong;
@@ -35,7 +35,7 @@
    * @param table the table as just read
    * @return the rows to commit, with their expected versions, or an outcome that ends the change
    */
-  Step nextStep(Table table);
+  Step nextStep(ConfigurationTable table);
 
   /**
    * Checks whether the operation is already committed.
@@ -43,7 +43,7 @@
    * @param table the table as just read
    * @return the version that contains the operation, if a row still records it
    */
-  OptionalLong appliedVersion(Table table);
+  OptionalLong appliedVersion(ConfigurationTable table);
 
   /** The next step after reading the table. */
   sealed interface Step {
@@ -66,7 +66,7 @@
        * @param revision the revision that contains them
        * @return a partial table that can be merged into the table
        */
-      public Table committedAt(long revision) {
+      public ConfigurationTable committedAt(long revision) {
         var committedRoutes = new TreeMap<RouteKey, Route>();
         routes.forEach(row -> committedRoutes.put(row.key(), row.withVersion(revision)));
         var committedDataCentres = new TreeMap<DataCentre, DataCentreRow>();
@@ -74,8 +74,8 @@
             row ->
                 committedDataCentres.put(
                     row.dataCentre(),
-                    new DataCentreRow(row.dataCentre(), row.out(), revision, row.operations())));
-        return new Table(revision, committedRoutes, committedDataCentres);
+                    new DataCentreRow(row.dataCentre(), row.evacuated(), revision, row.operations())));
+        return new ConfigurationTable(revision, committedRoutes, committedDataCentres);
       }
 
       /**
@@ -85,7 +85,7 @@
        * @param currentTable the table as just read
        * @return the status that the rows show
        */
-      public CommitStatus statusIn(Table currentTable) {
+      public CommitStatus statusIn(ConfigurationTable currentTable) {
         Objects.requireNonNull(currentTable, "currentTable is null");
         return Stream.concat(
                 routes.stream()
@@ -131,7 +131,7 @@
         }
         boolean historyComplete =
             writtenOperations.size() == 1
-                ? currentOperations.size() < Route.OPERATIONS_KEPT
+                ? currentOperations.size() < Route.MAX_RECORDED_OPERATIONS
                 : currentOperations.contains(writtenOperations.get(1));
         return historyComplete ? CommitStatus.NOT_APPLIED : CommitStatus.UNKNOWN;
       }
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/DataCentrePlan.java
@@ -6,7 +6,7 @@
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Route;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public Step nextStep(Table table) {
+  public Step nextStep(ConfigurationTable table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     if (row == null) {
       return rejected(
@@ -45,7 +45,7 @@
     if (alreadyApplied.isPresent()) {
       return new Step.Done(new EditOutcome.Accepted(alreadyApplied.getAsLong()));
     }
-    if (row.out() == evacuated) {
+    if (row.evacuated() == evacuated) {
       return new Step.Done(new EditOutcome.Accepted(table.version()));
     }
     Optional<Route> unservedRoute =
@@ -61,7 +61,7 @@
     var operationIds = new ArrayList<String>();
     operationIds.add(operation);
     operationIds.addAll(
-        row.operations().subList(0, Math.min(row.operations().size(), Route.OPERATIONS_KEPT - 1)));
+        row.operations().subList(0, Math.min(row.operations().size(), Route.MAX_RECORDED_OPERATIONS - 1)));
     return new Step.Commit(
         List.of(), List.of(new DataCentreRow(dataCentre, evacuated, row.version(), operationIds)));
   }
@@ -70,7 +70,7 @@
     return new Step.Done(new EditOutcome.NotAccepted(problem));
   }
 
-  private Optional<Route> findRouteWithoutAlternative(Table table) {
+  private Optional<Route> findRouteWithoutAlternative(ConfigurationTable table) {
     return table.routes().values().stream()
         .filter(route -> route.key().dataCentre().equals(dataCentre) && route.weight() > 0)
         .filter(
@@ -80,12 +80,12 @@
                         other ->
                             !other.key().dataCentre().equals(dataCentre)
                                 && other.weight() > 0
-                                && !table.isOut(other.key().dataCentre())))
+                                && !table.isEvacuated(other.key().dataCentre())))
         .findFirst();
   }
 
   @Override
-  public OptionalLong appliedVersion(Table table) {
+  public OptionalLong appliedVersion(ConfigurationTable table) {
     DataCentreRow row = table.dataCentres().get(dataCentre);
     return row != null && row.operations().contains(operation)
         ? OptionalLong.of(row.version())
--- a/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/recovery/EditPlan.java
@@ -2,13 +2,13 @@
 
 import dev.cactusstack.model.Edit;
 import dev.cactusstack.model.EditOutcome;
-import dev.cactusstack.model.EditOutcome.ConflictSides;
+import dev.cactusstack.model.EditOutcome.RowConflict;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public Step nextStep(Table table) {
+  public Step nextStep(ConfigurationTable table) {
     Objects.requireNonNull(table, "table is null");
     if (appliedVersion(table).isPresent()) {
       return new Step.Done(new EditOutcome.Accepted(appliedVersion(table).getAsLong()));
@@ -48,7 +48,7 @@
     if (invalid.isPresent()) {
       return new Step.Done(new EditOutcome.NotAccepted(invalid.get()));
     }
-    List<ConflictSides> conflicts = findConflicts(table);
+    List<RowConflict> conflicts = findConflicts(table);
     if (!conflicts.isEmpty()) {
       return new Step.Done(new EditOutcome.Conflict(conflicts));
     }
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public OptionalLong appliedVersion(Table table) {
+  public OptionalLong appliedVersion(ConfigurationTable table) {
     return edits.stream()
         .flatMap(edit -> table.route(edit.key()).stream())
         .filter(row -> row.operations().contains(operation))
@@ -75,7 +75,7 @@
         .max();
   }
 
-  private Optional<Problem> firstProblem(Table table) {
+  private Optional<Problem> firstProblem(ConfigurationTable table) {
     Set<RouteKey> seenKeys = new HashSet<>();
     for (Edit edit : edits) {
       Result<Route> checkedRow = check(table, edit, seenKeys);
@@ -90,7 +90,7 @@
         : Optional.empty();
   }
 
-  private static Result<Route> check(Table table, Edit edit, Set<RouteKey> seenKeys) {
+  private static Result<Route> check(ConfigurationTable table, Edit edit, Set<RouteKey> seenKeys) {
     if (!seenKeys.add(edit.key())) {
       return Result.failure(
           Problem.invalid(
@@ -102,7 +102,7 @@
         .orElseGet(() -> Result.failure(unknownRow(table, edit.key())));
   }
 
-  private static Problem unknownRow(Table table, RouteKey key) {
+  private static Problem unknownRow(ConfigurationTable table, RouteKey key) {
     boolean known = !table.routesOf(key.service()).isEmpty();
     return new Problem(
         known ? ProblemKind.UNKNOWN_DATA_CENTRE : ProblemKind.UNKNOWN_SERVICE,
@@ -112,10 +112,10 @@
         "use a name listed by 'cactusctl table show'");
   }
 
-  private List<ConflictSides> findConflicts(Table table) {
+  private List<RowConflict> findConflicts(ConfigurationTable table) {
     boolean tableChanged =
         expectedTableVersion.isPresent() && expectedTableVersion.getAsLong() != table.version();
-    List<ConflictSides> found = new ArrayList<>();
+    List<RowConflict> found = new ArrayList<>();
     for (Edit edit : edits) {
       Route currentRow = table.route(edit.key()).orElseThrow();
       boolean rowChanged =
@@ -123,13 +123,13 @@
       boolean rowChangedSinceTableVersion =
           tableChanged && currentRow.version() > expectedTableVersion.getAsLong();
       if (rowChanged || rowChangedSinceTableVersion) {
-        found.add(new ConflictSides(edit.applyTo(currentRow), currentRow));
+        found.add(new RowConflict(edit.applyTo(currentRow), currentRow));
       }
     }
     if (tableChanged && found.isEmpty()) {
       Edit firstEdit = edits.get(0);
       Route currentRow = table.route(firstEdit.key()).orElseThrow();
-      found.add(new ConflictSides(firstEdit.applyTo(currentRow), currentRow));
+      found.add(new RowConflict(firstEdit.applyTo(currentRow), currentRow));
     }
     return found;
   }
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/GroupOutlook.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/GroupStatistics.java
@@ -11,11 +11,11 @@
  * oldest request, is a multiple of the usual cost of the group; the others are quick. Immutable and
  * thread-safe.
  *
- * @param usualMs the cost of the quicker upstreams, in milliseconds
- * @param quickPlaces requests that the quick upstreams may have in flight
- * @param quickFree how many of these places are free
+ * @param typicalCostMs the cost of the quicker upstreams, in milliseconds
+ * @param fastCapacity requests that the quick upstreams may have in flight
+ * @param fastFreeCapacity how many of these places are free
  */
-public record GroupOutlook(double usualMs, int quickPlaces, int quickFree) {
+public record GroupStatistics(double typicalCostMs, int fastCapacity, int fastFreeCapacity) {
   /** An upstream is slow when it takes this many times the usual answer time of its group. */
   static final double SLOW_RATIO = 2.5;
 
@@ -25,25 +25,25 @@
    * @param views the upstreams
    * @return the outlook
    */
-  public static GroupOutlook of(List<UpstreamView> views) {
+  public static GroupStatistics of(List<UpstreamSnapshot> views) {
     Objects.requireNonNull(views, "views is null");
-    double usual = usualMs(views);
+    double usual = typicalCostMs(views);
     int places = 0;
     int free = 0;
-    for (UpstreamView v : views) {
+    for (UpstreamSnapshot v : views) {
       if (!isSlow(v, usual)) {
         places += v.limit();
         free += Math.max(0, v.limit() - v.inFlight());
       }
     }
-    return new GroupOutlook(usual, places, free);
+    return new GroupStatistics(usual, places, free);
   }
 
   /** The lower-third cost of the upstreams that take requests. */
-  private static double usualMs(List<UpstreamView> views) {
+  private static double typicalCostMs(List<UpstreamSnapshot> views) {
     double[] times = new double[views.size()];
     int n = 0;
-    for (UpstreamView v : views) {
+    for (UpstreamSnapshot v : views) {
       if (v.limit() > 0) {
         times[n++] = v.costMs();
       }
@@ -53,8 +53,8 @@
   }
 
   /** Whether past answers, or the age of the oldest request, show an upstream as slow. */
-  static boolean isSlow(UpstreamView v, double usual) {
-    return Math.max(v.costMs(), v.oldestMs()) > SLOW_RATIO * usual;
+  static boolean isSlow(UpstreamSnapshot v, double usual) {
+    return Math.max(v.costMs(), v.oldestRequestAgeMs()) > SLOW_RATIO * usual;
   }
 
   /**
@@ -63,10 +63,10 @@
    * @param waiting how many requests wait
    * @return the time in milliseconds, infinite when there is no quick upstream
    */
-  public double waitMs(int waiting) {
-    if (waiting <= quickFree) {
+  public double estimatedWaitMs(int waiting) {
+    if (waiting <= fastFreeCapacity) {
       return 0;
     }
-    return quickPlaces == 0 ? Double.POSITIVE_INFINITY : usualMs * waiting / quickPlaces;
+    return fastCapacity == 0 ? Double.POSITIVE_INFINITY : typicalCostMs * waiting / fastCapacity;
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/ExpectedAnswer.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/LeastExpectedLatency.java
@@ -15,53 +15,53 @@
  * all, a waiting request gets any upstream with room. So a request never waits for nothing.
  * Stateless and thread-safe.
  */
-final class ExpectedAnswer {
+final class LeastExpectedLatency {
   /** How much one more request in flight lengthens the others, as a share of the answer time. */
   private static final double CROWDING = 0.15;
 
   private static final double FADE_HALF_LIFE_MS = 150;
 
-  private ExpectedAnswer() {}
+  private LeastExpectedLatency() {}
 
-  static OptionalInt pick(List<UpstreamView> views, GroupOutlook outlook, int turn, int waiting) {
-    double usual = outlook.usualMs();
+  static OptionalInt pick(List<UpstreamSnapshot> views, GroupStatistics outlook, int turn, int waiting) {
+    double usual = outlook.typicalCostMs();
     OptionalInt quick =
-        PickPolicy.lowest(
+        LoadBalancingPolicy.lowest(
             views,
             turn,
             v ->
-                v.hasRoom() && !GroupOutlook.isSlow(v, usual)
+                v.hasCapacity() && !GroupStatistics.isSlow(v, usual)
                     ? expectedMs(v, usual) * (1 + CROWDING * v.inFlight())
                     : Double.POSITIVE_INFINITY);
     return quick.isPresent() ? quick : slow(views, turn, waiting, outlook);
   }
 
   private static OptionalInt slow(
-      List<UpstreamView> views, int turn, int waiting, GroupOutlook outlook) {
-    double usual = outlook.usualMs();
+      List<UpstreamSnapshot> views, int turn, int waiting, GroupStatistics outlook) {
+    double usual = outlook.typicalCostMs();
     OptionalInt choice =
-        PickPolicy.lowest(
+        LoadBalancingPolicy.lowest(
             views, turn, v -> mayTry(v, usual) ? expectedMs(v, usual) : Double.POSITIVE_INFINITY);
     if (choice.isEmpty()) {
       return choice;
     }
     double expected = expectedMs(views.get(choice.getAsInt()), usual);
-    boolean recovered = expected <= GroupOutlook.SLOW_RATIO * usual;
-    return recovered || expected <= usual + outlook.waitMs(waiting) ? choice : OptionalInt.empty();
+    boolean recovered = expected <= GroupStatistics.SLOW_RATIO * usual;
+    return recovered || expected <= usual + outlook.estimatedWaitMs(waiting) ? choice : OptionalInt.empty();
   }
 
   /** One that was slow gets one request at a time until it answers well. */
-  private static boolean mayTry(UpstreamView v, double usual) {
-    boolean onTrial = v.costMs() > GroupOutlook.SLOW_RATIO * usual;
-    return v.hasRoom() && (!onTrial || v.inFlight() == 0);
+  private static boolean mayTry(UpstreamSnapshot v, double usual) {
+    boolean onTrial = v.costMs() > GroupStatistics.SLOW_RATIO * usual;
+    return v.hasCapacity() && (!onTrial || v.inFlight() == 0);
   }
 
-  private static double expectedMs(UpstreamView v, double usual) {
+  private static double expectedMs(UpstreamSnapshot v, double usual) {
     double cost = v.costMs();
     double faded =
         cost <= usual
             ? cost
-            : usual + (cost - usual) * Math.pow(0.5, v.quietMs() / FADE_HALF_LIFE_MS);
-    return Math.max(faded, v.oldestMs());
+            : usual + (cost - usual) * Math.pow(0.5, v.idleMs() / FADE_HALF_LIFE_MS);
+    return Math.max(faded, v.oldestRequestAgeMs());
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/PickPolicy.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/LoadBalancingPolicy.java
@@ -10,11 +10,11 @@
  *
  * <p>{@link #ROUND_ROBIN} and {@link #LEAST_LOADED} are baselines for experiments.
  */
-public enum PickPolicy {
+public enum LoadBalancingPolicy {
   /** Takes the upstreams in turn, whatever their room. */
   ROUND_ROBIN {
     @Override
-    public OptionalInt pick(List<UpstreamView> views, GroupOutlook outlook, int turn, int waiting) {
+    public OptionalInt pick(List<UpstreamSnapshot> views, GroupStatistics outlook, int turn, int waiting) {
       return views.isEmpty()
           ? OptionalInt.empty()
           : OptionalInt.of(Math.floorMod(turn, views.size()));
@@ -24,19 +24,19 @@
   /** Takes the one with the fewest requests in flight, whatever its room. */
   LEAST_LOADED {
     @Override
-    public OptionalInt pick(List<UpstreamView> views, GroupOutlook outlook, int turn, int waiting) {
+    public OptionalInt pick(List<UpstreamSnapshot> views, GroupStatistics outlook, int turn, int waiting) {
       return lowest(views, turn, v -> v.inFlight());
     }
   },
 
   /**
    * Takes the one with room that is expected to answer first, or none when waiting for another is
-   * expected to be quicker; see {@link ExpectedAnswer}.
+   * expected to be quicker; see {@link LeastExpectedLatency}.
    */
-  EXPECTED_ANSWER {
+  LEAST_EXPECTED_LATENCY {
     @Override
-    public OptionalInt pick(List<UpstreamView> views, GroupOutlook outlook, int turn, int waiting) {
-      return ExpectedAnswer.pick(views, outlook, turn, waiting);
+    public OptionalInt pick(List<UpstreamSnapshot> views, GroupStatistics outlook, int turn, int waiting) {
+      return LeastExpectedLatency.pick(views, outlook, turn, waiting);
     }
   };
 
@@ -48,8 +48,8 @@
    * @param waiting requests that wait for this choice's outcome, the next one included
    * @return the index of the choice, or nothing when none can be chosen
    */
-  public OptionalInt pick(List<UpstreamView> views, int turn, int waiting) {
-    return pick(views, GroupOutlook.of(views), turn, waiting);
+  public OptionalInt pick(List<UpstreamSnapshot> views, int turn, int waiting) {
+    return pick(views, GroupStatistics.of(views), turn, waiting);
   }
 
   /**
@@ -62,10 +62,10 @@
    * @return the index of the choice, or nothing when none can be chosen
    */
   public abstract OptionalInt pick(
-      List<UpstreamView> views, GroupOutlook outlook, int turn, int waiting);
+      List<UpstreamSnapshot> views, GroupStatistics outlook, int turn, int waiting);
 
   static OptionalInt lowest(
-      List<UpstreamView> views, int turn, ToDoubleFunction<UpstreamView> cost) {
+      List<UpstreamSnapshot> views, int turn, ToDoubleFunction<UpstreamSnapshot> cost) {
     Objects.requireNonNull(views, "views is null");
     int best = -1;
     double lowest = Double.POSITIVE_INFINITY;
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/Rendezvous.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/RendezvousHash.java
@@ -13,11 +13,11 @@
  *
  * <p>Stateless and thread-safe.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /**
    * Finds the first-ranked candidate for a key.
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/SchedulerRanking.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/SchedulerRanking.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.decisions.routing;
 
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -27,19 +27,19 @@
    * @param count most hosts to return
    * @return the hosts to ask, first to last
    */
-  public static List<HostEntry> of(String service, Collection<HostEntry> hosts, int count) {
-    int most = hosts.stream().mapToInt(HostEntry::milliCores).max().orElse(0);
-    Map<String, HostEntry> strong = new HashMap<>();
-    Map<String, HostEntry> weak = new HashMap<>();
-    for (HostEntry e : hosts) {
+  public static List<HostRegistration> rank(String service, Collection<HostRegistration> hosts, int count) {
+    int most = hosts.stream().mapToInt(HostRegistration::milliCores).max().orElse(0);
+    Map<String, HostRegistration> strong = new HashMap<>();
+    Map<String, HostRegistration> weak = new HashMap<>();
+    for (HostRegistration e : hosts) {
       (e.milliCores() >= most * STRONG_SHARE ? strong : weak).put(e.name(), e);
     }
-    List<HostEntry> out = new ArrayList<>(ranked(service, strong, count));
+    List<HostRegistration> out = new ArrayList<>(ranked(service, strong, count));
     out.addAll(ranked(service, weak, count - out.size()));
     return out;
   }
 
-  private static List<HostEntry> ranked(String service, Map<String, HostEntry> hosts, int count) {
-    return Rendezvous.ranked(service, hosts.keySet(), count).stream().map(hosts::get).toList();
+  private static List<HostRegistration> ranked(String service, Map<String, HostRegistration> hosts, int count) {
+    return RendezvousHash.ranked(service, hosts.keySet(), count).stream().map(hosts::get).toList();
   }
 }
--- a/decisions/src/main/java/dev/cactusstack/decisions/routing/UpstreamView.java
+++ b/decisions/src/main/java/dev/cactusstack/decisions/routing/UpstreamSnapshot.java
@@ -6,18 +6,18 @@
  * @param inFlight requests that this owner has in flight there
  * @param limit most requests that may be in flight there now
  * @param latencyMs smoothed time of an answer, in milliseconds
- * @param oldestMs age of the oldest request in flight, in milliseconds, 0 when idle
- * @param quietMs time since its last answer while nothing is in flight, in milliseconds; 0 when
+ * @param oldestRequestAgeMs age of the oldest request in flight, in milliseconds, 0 when idle
+ * @param idleMs time since its last answer while nothing is in flight, in milliseconds; 0 when
  *     busy
- * @param failureShare smoothed share of failed answers, from 0 to 1
+ * @param failureRate smoothed share of failed answers, from 0 to 1
  */
-public record UpstreamView(
+public record UpstreamSnapshot(
     int inFlight,
     int limit,
     double latencyMs,
-    double oldestMs,
-    double quietMs,
-    double failureShare) {
+    double oldestRequestAgeMs,
+    double idleMs,
+    double failureRate) {
 
   /** Differences below this are noise of the measurement, not of the upstreams. */
   private static final double MIN_LATENCY_MS = 1;
@@ -33,7 +33,7 @@
    * @return the answer time, and the share of failures at its price, in milliseconds
    */
   double costMs() {
-    return Math.max(MIN_LATENCY_MS, latencyMs) + failureShare * FAILURE_COST_MS;
+    return Math.max(MIN_LATENCY_MS, latencyMs) + failureRate * FAILURE_COST_MS;
   }
 
   /**
@@ -41,7 +41,7 @@
    *
    * @return true when in flight is below the limit
    */
-  public boolean hasRoom() {
+  public boolean hasCapacity() {
     return inFlight < limit;
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/directory/DirectoryPolicyTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/directory/DirectoryPolicyTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -12,18 +12,18 @@
 class DirectoryPolicyTest {
   private final DirectoryPolicy policy = new DirectoryPolicy(2, 64);
 
-  private static List<HostEntry> hosts(String dataCentre, int count) {
-    List<HostEntry> out = new ArrayList<>();
+  private static List<HostRegistration> hosts(String dataCentre, int count) {
+    List<HostRegistration> out = new ArrayList<>();
     for (int i = 1; i <= count; i++) {
       var a = new Address("127.0.0.1", i);
-      out.add(new HostEntry(dataCentre + i, dataCentre, a, a, 600, 1));
+      out.add(new HostRegistration(dataCentre + i, dataCentre, a, a, 600, 1));
     }
     return out;
   }
 
   @Test
   void shouldNameOnlyNearHostsWhenEnoughAreNear() {
-    List<HostEntry> all = new ArrayList<>(hosts("a", 3));
+    List<HostRegistration> all = new ArrayList<>(hosts("a", 3));
     all.addAll(hosts("b", 5));
     assertThat(policy.choose(all, "a", new SplittableRandom(1)))
         .hasSize(3)
@@ -32,7 +32,7 @@
 
   @Test
   void shouldMakeUpWithFarHostsWhenTooFewAreNear() {
-    List<HostEntry> all = new ArrayList<>(hosts("a", 1));
+    List<HostRegistration> all = new ArrayList<>(hosts("a", 1));
     all.addAll(hosts("b", 5));
     assertThat(policy.choose(all, "a", new SplittableRandom(1))).hasSize(2);
     assertThat(policy.choose(all, "c", new SplittableRandom(1))).hasSize(2);
--- a/decisions/src/test/java/dev/cactusstack/decisions/gossip/ReaderChoiceTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/gossip/ConfigurationReadersTest.java
@@ -3,30 +3,30 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ReaderChoiceTest {
-  private static final ReaderChoice CHOICE = new ReaderChoice(3);
+class ConfigurationReadersTest {
+  private static final ConfigurationReaders CHOICE = new ConfigurationReaders(3);
 
-  private static List<HostEntry> hosts(String dataCentre, int count) {
+  private static List<HostRegistration> hosts(String dataCentre, int count) {
     var a = new Address("127.0.0.1", 80);
-    List<HostEntry> out = new ArrayList<>();
+    List<HostRegistration> out = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      out.add(new HostEntry(dataCentre + i, dataCentre, a, a, 600, 1));
+      out.add(new HostRegistration(dataCentre + i, dataCentre, a, a, 600, 1));
     }
     return out;
   }
 
-  private static List<HostEntry> readers(List<HostEntry> able) {
-    return able.stream().filter(e -> CHOICE.reads(e, able)).toList();
+  private static List<HostRegistration> readers(List<HostRegistration> able) {
+    return able.stream().filter(e -> CHOICE.isReader(e, able)).toList();
   }
 
   @Test
   void shouldChooseAsManyInEachDataCentreWhenThereAreMore() {
-    List<HostEntry> all = hosts("a", 20);
+    List<HostRegistration> all = hosts("a", 20);
     all.addAll(hosts("b", 4));
     assertThat(readers(all).stream().filter(e -> e.dataCentre().equals("a"))).hasSize(3);
     assertThat(readers(all).stream().filter(e -> e.dataCentre().equals("b"))).hasSize(3);
@@ -34,23 +34,23 @@
 
   @Test
   void shouldChooseAllWhenThereAreFew() {
-    List<HostEntry> all = hosts("a", 3);
+    List<HostRegistration> all = hosts("a", 3);
     assertThat(readers(all)).isEqualTo(all);
   }
 
   @Test
   void shouldReplaceAReaderWhenItIsNoLongerAble() {
-    List<HostEntry> all = hosts("a", 20);
-    List<HostEntry> before = readers(all);
+    List<HostRegistration> all = hosts("a", 20);
+    List<HostRegistration> before = readers(all);
     all.remove(before.get(0));
     assertThat(readers(all)).hasSize(3).containsAll(before.subList(1, 3));
   }
 
   @Test
   void shouldKeepAReaderThatDoesNotReachTheStoreTrying() {
-    List<HostEntry> all = hosts("a", 20);
-    HostEntry reader = readers(all).get(0);
+    List<HostRegistration> all = hosts("a", 20);
+    HostRegistration reader = readers(all).get(0);
     all.remove(reader);
-    assertThat(CHOICE.reads(reader, all)).isTrue();
+    assertThat(CHOICE.isReader(reader, all)).isTrue();
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/gossip/PeerTableTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/gossip/PeerTableTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -19,9 +19,9 @@
   private static final long ROUND_MS = 400;
   private static final long DEAD_AFTER_MS = 3_500;
 
-  private static HostEntry host(String name, long incarnation) {
+  private static HostRegistration host(String name, long incarnation) {
     int port = 1_000 + Math.floorMod(name.hashCode(), 50_000);
-    return new HostEntry(
+    return new HostRegistration(
         name,
         "dc",
         new Address("127.0.0.1", port),
@@ -42,7 +42,7 @@
       names = IntStream.range(0, hosts).mapToObj(i -> "host-" + i).toList();
       for (String n : names) {
         var t = new PeerTable(n, DEAD_AFTER_MS, random.split());
-        names.forEach(o -> t.learn(host(o, 1), 0));
+        names.forEach(o -> t.recordStart(host(o, 1), 0));
         tables.put(n, t);
       }
     }
@@ -59,16 +59,16 @@
 
     private void tell(String from) {
       PeerTable t = tables.get(from);
-      List<Pulse> pulses = t.round(true, true, nowMs);
-      for (HostEntry to : t.targets(3, nowMs)) {
+      List<HeartbeatState> pulses = t.startRound(true, true, nowMs);
+      for (HostRegistration to : t.gossipTargets(3, nowMs)) {
         if (!silent.contains(to.name())) {
-          tables.get(to.name()).heard(pulses, nowMs);
+          tables.get(to.name()).mergeHeartbeats(pulses, nowMs);
         }
       }
     }
 
     Set<String> usable(String at) {
-      return tables.get(at).usable(nowMs).stream().map(HostEntry::name).collect(Collectors.toSet());
+      return tables.get(at).usableHosts(nowMs).stream().map(HostRegistration::name).collect(Collectors.toSet());
     }
   }
 
@@ -101,27 +101,27 @@
   @Test
   void shouldNotCountAHostAsAliveWhenItsCounterWasNeverHeardToRise() {
     var t = new PeerTable("a", DEAD_AFTER_MS, new SplittableRandom(1));
-    t.learn(host("a", 1), 0);
-    t.learn(host("b", 1), 0);
-    assertThat(t.usable(0)).extracting(HostEntry::name).containsExactly("a");
+    t.recordStart(host("a", 1), 0);
+    t.recordStart(host("b", 1), 0);
+    assertThat(t.usableHosts(0)).extracting(HostRegistration::name).containsExactly("a");
   }
 
   @Test
   void shouldIgnoreAnOldStartsCounterWhenTheHostHasStartedAgain() {
     var t = new PeerTable("a", DEAD_AFTER_MS, new SplittableRandom(1));
-    t.learn(host("a", 1), 0);
-    t.learn(host("b", 5), 0);
-    t.heard(List.of(new Pulse(PeerTable.hash("b"), 4, 1_000, false, true, true)), 10);
-    assertThat(t.usable(20)).extracting(HostEntry::name).containsExactly("a");
-    t.heard(List.of(new Pulse(PeerTable.hash("b"), 5, 1, false, true, true)), 30);
-    assertThat(t.usable(40)).hasSize(2);
+    t.recordStart(host("a", 1), 0);
+    t.recordStart(host("b", 5), 0);
+    t.mergeHeartbeats(List.of(new HeartbeatState(PeerTable.hash("b"), 4, 1_000, false, true, true)), 10);
+    assertThat(t.usableHosts(20)).extracting(HostRegistration::name).containsExactly("a");
+    t.mergeHeartbeats(List.of(new HeartbeatState(PeerTable.hash("b"), 5, 1, false, true, true)), 30);
+    assertThat(t.usableHosts(40)).hasSize(2);
   }
 
   @Test
   void shouldLeaveOutAHostWhenItTellsThatItIsLeaving() {
     var site = new Site(13, 3);
     site.run(4_000);
-    site.tables.get("host-2").leave();
+    site.tables.get("host-2").markLeaving();
     site.run(2_000);
     for (String n : site.names) {
       assertThat(site.usable(n)).doesNotContain("host-2");
@@ -132,10 +132,10 @@
   void shouldTellWhetherOthersReachTheStoreWhenThisHostDoesNot() {
     var site = new Site(3, 5);
     site.run(4_000);
-    assertThat(site.tables.get("host-0").othersInformed(site.nowMs)).isTrue();
+    assertThat(site.tables.get("host-0").anotherHostReachesStore(site.nowMs)).isTrue();
     site.silent.addAll(List.of("host-1", "host-2"));
     site.run(4_000);
-    assertThat(site.tables.get("host-0").othersInformed(site.nowMs)).isFalse();
+    assertThat(site.tables.get("host-0").anotherHostReachesStore(site.nowMs)).isFalse();
   }
 
   @Test
@@ -143,14 +143,14 @@
     var a = new Address("127.0.0.1", 80);
     var table = new PeerTable("near0", 3_500, new java.util.Random(3));
     for (int i = 0; i < 20; i++) {
-      table.learn(new HostEntry("near" + i, "near", a, a, 600, 1), 0);
-      table.learn(new HostEntry("far" + i, "far", a, a, 600, 1), 0);
+      table.recordStart(new HostRegistration("near" + i, "near", a, a, 600, 1), 0);
+      table.recordStart(new HostRegistration("far" + i, "far", a, a, 600, 1), 0);
     }
     int far = 0;
     for (int round = 0; round < 300; round++) {
-      List<HostEntry> told = table.targets(3, 0);
+      List<HostRegistration> told = table.gossipTargets(3, 0);
       assertThat(told).hasSize(3).doesNotHaveDuplicates();
-      assertThat(told).extracting(HostEntry::name).doesNotContain("near0");
+      assertThat(told).extracting(HostRegistration::name).doesNotContain("near0");
       far += (int) told.stream().filter(e -> e.dataCentre().equals("far")).count();
     }
     assertThat(far).isBetween(100, 220);
@@ -161,18 +161,18 @@
     var a = new Address("127.0.0.1", 80);
     var table = new PeerTable("self", 3_500, new java.util.Random(3));
     for (String name : List.of("self", "knows", "blank")) {
-      table.learn(new HostEntry(name, "dc", a, a, 600, 1), 0);
+      table.recordStart(new HostRegistration(name, "dc", a, a, 600, 1), 0);
     }
-    table.round(false, false, 0);
-    table.heard(
+    table.startRound(false, false, 0);
+    table.mergeHeartbeats(
         List.of(
-            new Pulse(PeerTable.hash("knows"), 1, 1, false, false, true),
-            new Pulse(PeerTable.hash("blank"), 1, 1, false, true, false)),
+            new HeartbeatState(PeerTable.hash("knows"), 1, 1, false, false, true),
+            new HeartbeatState(PeerTable.hash("blank"), 1, 1, false, true, false)),
         0);
-    assertThat(table.schedulers(0)).hasSize(3);
-    table.heard(List.of(new Pulse(PeerTable.hash("blank"), 1, 2, false, false, false)), 0);
-    assertThat(table.schedulers(0)).extracting(HostEntry::name).containsExactly("knows");
-    table.heard(List.of(new Pulse(PeerTable.hash("knows"), 1, 2, true, false, true)), 0);
-    assertThat(table.schedulers(0)).hasSize(2);
+    assertThat(table.eligibleSchedulers(0)).hasSize(3);
+    table.mergeHeartbeats(List.of(new HeartbeatState(PeerTable.hash("blank"), 1, 2, false, false, false)), 0);
+    assertThat(table.eligibleSchedulers(0)).extracting(HostRegistration::name).containsExactly("knows");
+    table.mergeHeartbeats(List.of(new HeartbeatState(PeerTable.hash("knows"), 1, 2, true, false, true)), 0);
+    assertThat(table.eligibleSchedulers(0)).hasSize(2);
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/matching/RouteTableTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/matching/RouteMatcherTest.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class RouteTableTest {
-  private static RouteRule route(String name, String host, String prefix, RouteRule.Part... parts) {
-    List<RouteRule.Part> list =
-        parts.length == 0 ? List.of(new RouteRule.Part("s", 1)) : List.of(parts);
+class RouteMatcherTest {
+  private static RouteRule route(String name, String host, String prefix, RouteRule.WeightedService... parts) {
+    List<RouteRule.WeightedService> list =
+        parts.length == 0 ? List.of(new RouteRule.WeightedService("s", 1)) : List.of(parts);
     return new RouteRule(name, host, prefix, RequestKind.IDEMPOTENT, 1_000, 300, 1, 2, list);
   }
 
-  private final RouteTable table =
-      new RouteTable(
+  private final RouteMatcher table =
+      new RouteMatcher(
           List.of(
               route("short", "a.example", "/x/"),
               route("long", "a.example", "/x/y/"),
@@ -52,8 +52,8 @@
 
   @Test
   void shouldKeepEachShareWithinOneRequestWhenARouteIsSplit() {
-    var parts = new WeightedParts();
-    RouteRule r = route("r", "h", "/", new RouteRule.Part("a", 70), new RouteRule.Part("b", 30));
+    var parts = new WeightedRoundRobin();
+    RouteRule r = route("r", "h", "/", new RouteRule.WeightedService("a", 70), new RouteRule.WeightedService("b", 30));
     Map<String, Integer> counts = new TreeMap<>();
     for (int n = 1; n <= 200; n++) {
       counts.merge(parts.next(r), 1, Integer::sum);
@@ -64,13 +64,13 @@
 
   @Test
   void shouldStartTheSharesAnewWhenTheWeightsChange() {
-    var parts = new WeightedParts();
+    var parts = new WeightedRoundRobin();
     RouteRule before =
-        route("r", "h", "/", new RouteRule.Part("a", 99), new RouteRule.Part("b", 1));
+        route("r", "h", "/", new RouteRule.WeightedService("a", 99), new RouteRule.WeightedService("b", 1));
     for (int n = 0; n < 50; n++) {
       parts.next(before);
     }
-    RouteRule after = route("r", "h", "/", new RouteRule.Part("b", 1));
+    RouteRule after = route("r", "h", "/", new RouteRule.WeightedService("b", 1));
     assertThat(parts.next(after)).isEqualTo("b");
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/Replay.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.decisions.placing;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.ServiceRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.ServiceSettings;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -176,7 +176,7 @@
 
   ReplayResult runScheduler(boolean probes, SecondAttempt second) {
     var scheduler = new Scheduler(SETTINGS);
-    var rule = new ServiceRule("s", "/h", 100, 3_000, 14);
+    var rule = new ServiceSettings("s", "/h", 100, 3_000, 14);
     List<RunningAttempt> running = new ArrayList<>();
     Map<PlacementKey, Arrival> asked = new HashMap<>();
     Set<Arrival> done = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -204,7 +204,7 @@
         }
       }
       if (probes && now % PROBE_INTERVAL_MS == 0) {
-        for (UpstreamEntry u : scheduler.selectProbeTargets(now)) {
+        for (UpstreamRegistration u : scheduler.selectProbeTargets(now)) {
           probing.add(
               new long[] {now + PROBE_ROUND_TRIP_MS, Integer.parseInt(u.id().substring(1))});
         }
@@ -259,13 +259,13 @@
     return tally.outcome();
   }
 
-  private List<UpstreamEntry> entries(long now) {
-    List<UpstreamEntry> out = new ArrayList<>();
+  private List<UpstreamRegistration> entries(long now) {
+    List<UpstreamRegistration> out = new ArrayList<>();
     for (int u = 0; u < upstreams; u++) {
       if (pattern.isAvailable(u, now)) {
         var address = new Address("127.0.0.1", 1_000 + u);
         out.add(
-            new UpstreamEntry(
+            new UpstreamRegistration(
                 "u" + u, "s", address, "dc", slots, false, pattern.warmupRemainingMs(u, now), 1));
       }
     }
--- a/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/placing/SchedulerTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.ServiceRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.ServiceSettings;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,13 +15,13 @@
 
 class SchedulerTest {
   private static final SchedulerSettings SETTINGS = new SchedulerSettings(12, 1, 12, 0.45, 1.5, 5);
-  private static final ServiceRule RULE = new ServiceRule("s", "/health", 100, 3_000, 14);
+  private static final ServiceSettings RULE = new ServiceSettings("s", "/health", 100, 3_000, 14);
 
   private final Scheduler scheduler = new Scheduler(SETTINGS);
   private long number;
 
-  private static UpstreamEntry upstream(String id, int slots, long coldForMs) {
-    return new UpstreamEntry(
+  private static UpstreamRegistration upstream(String id, int slots, long coldForMs) {
+    return new UpstreamRegistration(
         id, "s", new Address("127.0.0.1", 80), "dc", slots, false, coldForMs, 1);
   }
 
@@ -218,14 +218,14 @@
         scheduler.report(end(v, AttemptOutcome.ANSWERED, 100), now + 5);
       }
     }
-    assertThat(sent).isEqualTo(SETTINGS.warmupRequestLimit(RULE.coldPerSecond()));
+    assertThat(sent).isEqualTo(SETTINGS.warmupRequestLimit(RULE.warmupRequestsPerSecond()));
     assertThat(sent * 2).isLessThanOrEqualTo((int) (14 * 1.5 + 5));
   }
 
   @Test
   void shouldPreferTheRequestingHostsDataCentreWhenTheBodyIsLarge() {
-    UpstreamEntry far =
-        new UpstreamEntry("far", "s", new Address("127.0.0.1", 80), "dc2", 4, false, 0, 1);
+    UpstreamRegistration far =
+        new UpstreamRegistration("far", "s", new Address("127.0.0.1", 80), "dc2", 4, false, 0, 1);
     scheduler.updateUpstreams(RULE, List.of(upstream("near", 4, 0), far), 0);
     var upload =
         new PlacementRequest(
--- a/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/recovery/EditPlanTest.java
@@ -7,7 +7,7 @@
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteColumn;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.TreeMap;
@@ -16,10 +16,10 @@
 class EditPlanTest {
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
 
-  private static Table table(long version, Route row) {
+  private static ConfigurationTable table(long version, Route row) {
     var rows = new TreeMap<RouteKey, Route>();
     rows.put(row.key(), row);
-    return new Table(version, rows, new TreeMap<>());
+    return new ConfigurationTable(version, rows, new TreeMap<>());
   }
 
   private static Route row(long version, int weight, String... operations) {
@@ -32,7 +32,7 @@
     return new EditPlan(operation, List.of(new Edit(KEY, values, ifVersion)), OptionalLong.empty());
   }
 
-  private static ChangePlan.Step.Commit commit(EditPlan plan, Table t) {
+  private static ChangePlan.Step.Commit commit(EditPlan plan, ConfigurationTable t) {
     return (ChangePlan.Step.Commit) plan.nextStep(t);
   }
 
@@ -46,7 +46,7 @@
   void shouldReportBothRowsWhenAnotherEditWasCommittedFirst() {
     ChangePlan.Step s = plan("a", 30, OptionalLong.of(5)).nextStep(table(7, row(6, 25, "b")));
     EditOutcome o = ((ChangePlan.Step.Done) s).outcome();
-    EditOutcome.ConflictSides sides = ((EditOutcome.Conflict) o).sides().get(0);
+    EditOutcome.RowConflict sides = ((EditOutcome.Conflict) o).rowConflicts().get(0);
     assertThat(sides.mine().weight()).isEqualTo(30);
     assertThat(sides.theirs().weight()).isEqualTo(25);
   }
--- a/decisions/src/test/java/dev/cactusstack/decisions/routing/RendezvousTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/routing/RendezvousHashTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class RendezvousTest {
+class RendezvousHashTest {
   private static final List<String> HOSTS =
       IntStream.range(0, 16).mapToObj(i -> "host-" + i).toList();
 
@@ -19,9 +19,9 @@
     fewer.remove("host-3");
     for (int i = 0; i < 1_500; i++) {
       String key = "service-" + i + "/almaty-1";
-      String before = Rendezvous.first(key, HOSTS).orElseThrow();
+      String before = RendezvousHash.first(key, HOSTS).orElseThrow();
       if (!before.equals("host-3")) {
-        assertThat(Rendezvous.first(key, fewer)).contains(before);
+        assertThat(RendezvousHash.first(key, fewer)).contains(before);
       }
     }
   }
@@ -30,13 +30,13 @@
   void shouldSpreadRoutesEvenlyWhenThereAreMany() {
     Map<String, Integer> count = new HashMap<>();
     for (int i = 0; i < 6_000; i++) {
-      count.merge(Rendezvous.first("service-" + i, HOSTS).orElseThrow(), 1, Integer::sum);
+      count.merge(RendezvousHash.first("service-" + i, HOSTS).orElseThrow(), 1, Integer::sum);
     }
     assertThat(count.values()).allSatisfy(n -> assertThat(n).isBetween(280, 480));
   }
 
   @Test
   void shouldFindNothingWhenThereAreNoCandidates() {
-    assertThat(Rendezvous.first("search", List.of())).isEmpty();
+    assertThat(RendezvousHash.first("search", List.of())).isEmpty();
   }
 }
--- a/decisions/src/test/java/dev/cactusstack/decisions/routing/SchedulerRankingTest.java
+++ b/decisions/src/test/java/dev/cactusstack/decisions/routing/SchedulerRankingTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -12,20 +12,20 @@
 import org.junit.jupiter.api.Test;
 
 class SchedulerRankingTest {
-  private static List<HostEntry> hosts(int count, String prefix, int milliCores) {
+  private static List<HostRegistration> hosts(int count, String prefix, int milliCores) {
     var a = new Address("127.0.0.1", 80);
     return IntStream.range(0, count)
-        .mapToObj(i -> new HostEntry(prefix + i, "dc", a, a, milliCores, 1))
+        .mapToObj(i -> new HostRegistration(prefix + i, "dc", a, a, milliCores, 1))
         .toList();
   }
 
   @Test
   void shouldAskStrongHostsFirstWhenSomeAreWeak() {
-    List<HostEntry> all = new ArrayList<>(hosts(100, "weak", 300));
+    List<HostRegistration> all = new ArrayList<>(hosts(100, "weak", 300));
     all.addAll(hosts(2, "strong", 1_500));
     all.addAll(hosts(1, "nearly", 1_200));
     for (int service = 0; service < 20; service++) {
-      List<HostEntry> ranked = SchedulerRanking.of("s" + service, all, 4);
+      List<HostRegistration> ranked = SchedulerRanking.rank("s" + service, all, 4);
       assertThat(ranked).hasSize(4).doesNotHaveDuplicates();
       assertThat(ranked.subList(0, 3)).allMatch(e -> e.milliCores() >= 1_200);
     }
@@ -33,14 +33,14 @@
 
   @Test
   void shouldRankAlikeWhenHostsAreListedInAnotherOrder() {
-    List<HostEntry> all = new ArrayList<>(hosts(30, "h", 600));
-    List<HostEntry> ranked = SchedulerRanking.of("s", all, 4);
+    List<HostRegistration> all = new ArrayList<>(hosts(30, "h", 600));
+    List<HostRegistration> ranked = SchedulerRanking.rank("s", all, 4);
     Collections.shuffle(all, new Random(7));
-    assertThat(SchedulerRanking.of("s", all, 4)).isEqualTo(ranked);
+    assertThat(SchedulerRanking.rank("s", all, 4)).isEqualTo(ranked);
   }
 
   @Test
   void shouldRankNobodyWhenNoHostIsKnown() {
-    assertThat(SchedulerRanking.of("s", List.of(), 4)).isEmpty();
+    assertThat(SchedulerRanking.rank("s", List.of(), 4)).isEmpty();
   }
 }
--- a/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedHosts.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedHosts.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.embedded;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.host.observe.Ticker;
 import java.time.InstantSource;
@@ -34,7 +34,7 @@
       int count,
       int callersPort,
       int operatorsPort,
-      PickPolicy policy,
+      LoadBalancingPolicy policy,
       Map<String, String> environment,
       String extra) {
     Objects.requireNonNull(site, "site is null");
--- a/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.embedded;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.host.HostMain;
 import dev.cactusstack.host.ShutdownSignals;
@@ -69,7 +69,7 @@
             count,
             callersPort,
             operatorsPort,
-            PickPolicy.EXPECTED_ANSWER,
+            LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             System.getenv(),
             "");
     ShutdownSignals.install(embedded.hosts());
--- a/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
@@ -3,7 +3,7 @@
 import static dev.cactusstack.embedded.TestSite.eventually;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.standin.PlatformFaults;
@@ -83,7 +83,7 @@
             spec.settings(Map.of()),
             Ticker.SYSTEM,
             InstantSource.system(),
-            PickPolicy.EXPECTED_ANSWER);
+            LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     try {
       eventually(() -> late.controllers().configuration().inForce().version() >= 2);
       assertThat(late.controllers().configuration().isStoreReachable()).isFalse();
@@ -102,7 +102,7 @@
             spec.settings(Map.of()),
             Ticker.SYSTEM,
             InstantSource.system(),
-            PickPolicy.EXPECTED_ANSWER);
+            LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     try (var socket = new java.net.Socket("127.0.0.1", lone.callersAddress().port())) {
       socket
           .getOutputStream()
--- a/embedded/src/test/java/dev/cactusstack/embedded/TestSite.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/TestSite.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.embedded;
 
 import dev.cactusstack.ctl.CtlMain;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.standin.Deployment;
 import dev.cactusstack.standin.UpstreamTraits;
@@ -35,7 +35,7 @@
     Logger.getLogger("").setLevel(Level.SEVERE);
     site = Site.startWith(Deployment.QAZYNA, TestSite::quick, 1);
     embedded =
-        EmbeddedHosts.start(site, hosts, 0, 0, PickPolicy.EXPECTED_ANSWER, Map.of(), SETTINGS);
+        EmbeddedHosts.start(site, hosts, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), SETTINGS);
     if (!embedded.awaitReady(PATIENCE_MS)) {
       throw new IllegalStateException("the hosts are not ready");
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -23,7 +23,7 @@
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.gateway.site.UpstreamWire;
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import io.netty.channel.EventLoop;
 import java.util.List;
 import java.util.Random;
@@ -107,7 +107,7 @@
     this.peers = new PeerTable(settings.host(), DEAD_AFTER_MS, random);
     this.link = new Link(loop, log);
     var self =
-        new HostEntry(
+        new HostRegistration(
             settings.host(),
             settings.dataCentre(),
             settings.callers(),
@@ -151,7 +151,7 @@
             schedulerSettings,
             upstreams,
             prober,
-            () -> peers.othersInformed(clock.getAsLong()));
+            () -> peers.anotherHostReachesStore(clock.getAsLong()));
     this.placement =
         new Placement(
             loop,
@@ -281,8 +281,8 @@
    */
   public List<Address> addresses(String dataCentre) {
     return new DirectoryPolicy(ENOUGH_HOSTS, MOST_HOSTS)
-        .choose(peers.usable(clock.getAsLong()), dataCentre, random).stream()
-            .map(HostEntry::callers)
+        .choose(peers.usableHosts(clock.getAsLong()), dataCentre, random).stream()
+            .map(HostRegistration::callerAddress)
             .toList();
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
@@ -13,7 +13,7 @@
 import dev.cactusstack.gateway.observe.EventLine;
 import dev.cactusstack.gateway.observe.RouteFigures;
 import dev.cactusstack.model.site.RouteRule;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -74,7 +74,7 @@
     long callerMs = tools.wire().deadlineMs(request.headers()).orElse(route.timeoutMs());
     this.endMs = request.arrivedMs() + Math.min(callerMs, route.timeoutMs());
     long spentMs = tools.patience().elapsedMs(route.name(), callerMs);
-    this.onTimeAtMs = request.arrivedMs() + route.objectiveMs() - spentMs;
+    this.onTimeAtMs = request.arrivedMs() + route.latencyObjectiveMs() - spentMs;
   }
 
   void start() {
@@ -93,7 +93,7 @@
     done = true;
     stopTimers();
     withdraw();
-    if (route.kind().repeatable()) {
+    if (route.kind().idempotent()) {
       abandonAll(AttemptOutcome.ABANDONED);
     }
   }
@@ -107,7 +107,7 @@
             tools.dataCentre(),
             route.name(),
             route.priority(),
-            route.objectiveMs(),
+            route.latencyObjectiveMs(),
             Math.max(0, onTimeAtMs - now()),
             Math.max(0, left()),
             request.body().length,
@@ -158,7 +158,7 @@
   }
 
   private void send(PlacementDecision.Placed p) {
-    UpstreamEntry u = p.upstream();
+    UpstreamRegistration u = p.upstream();
     sends++;
     tried.add(u.id());
     HttpHeaders headers = ForwardedFields.of(request.headers());
@@ -176,17 +176,17 @@
         .write();
     var outgoing =
         new Outgoing(
-            u.pool(),
+            u.connectionPoolKey(),
             u.address(),
             request.method(),
             request.target(),
             headers,
             request.body(),
             this::mine,
-            tools.rest(service).maxIdleMs(route.kind().repeatable(), now()));
+            tools.rest(service).maxIdleMs(route.kind().idempotent(), now()));
     attempt.exchange =
         tools.client().send(outgoing, left() + EXCHANGE_SLACK_MS, reply -> ended(attempt, reply));
-    if (sends == 1 && route.kind().repeatable() && route.maxAttempts() > 1) {
+    if (sends == 1 && route.kind().idempotent() && route.maxAttempts() > 1) {
       hedgeTimer = tools.loop().schedule(this::hedge, hedgeAfter(), TimeUnit.MILLISECONDS);
     }
   }
@@ -196,7 +196,7 @@
   }
 
   private long hedgeAfter() {
-    double usual = tools.workTimes().estimateMs(route.name(), route.objectiveMs());
+    double usual = tools.workTimes().estimateMs(route.name(), route.latencyObjectiveMs());
     return HedgeDelay.delayMs(usual, onTimeAtMs - now());
   }
 
@@ -247,7 +247,7 @@
     if (!running.isEmpty() || asking != null) {
       return;
     }
-    boolean allowed = end.provesNotRun() || route.kind().repeatable();
+    boolean allowed = end.provesNotRun() || route.kind().idempotent();
     boolean attemptsLeft =
         runs < route.maxAttempts() && sends < route.maxAttempts() + SENDS_BEYOND_ATTEMPTS;
     lastFailure = reply;
@@ -260,10 +260,10 @@
 
   private void learn(long tookMs, Optional<ReportedLoad> load) {
     double pace = load.map(ReportedLoad::slowdown).orElse(1.0);
-    tools.workTimes().recordResponse(route.name(), route.objectiveMs(), tookMs, pace);
+    tools.workTimes().recordResponse(route.name(), route.latencyObjectiveMs(), tookMs, pace);
   }
 
-  private void deliver(Reply.Answer r, UpstreamEntry by) {
+  private void deliver(Reply.Answer r, UpstreamRegistration by) {
     finish();
     figures().answered(now() - request.arrivedMs());
     event("answered")
@@ -350,7 +350,7 @@
   }
 
   private void report(
-      PlacementKey key, UpstreamEntry u, AttemptOutcome end, long tookMs, Optional<ReportedLoad> load) {
+      PlacementKey key, UpstreamRegistration u, AttemptOutcome end, long tookMs, Optional<ReportedLoad> load) {
     tools.placement().report(service, new AttemptReport(key, u.id(), end, tookMs, load));
   }
 
@@ -372,11 +372,11 @@
 
   private static final class Attempt {
     private final PlacementKey key;
-    private final UpstreamEntry upstream;
+    private final UpstreamRegistration upstream;
     private final long sinceMs;
     private @Nullable Exchange exchange;
 
-    Attempt(PlacementKey key, UpstreamEntry upstream, long sinceMs) {
+    Attempt(PlacementKey key, UpstreamRegistration upstream, long sinceMs) {
       this.key = key;
       this.upstream = upstream;
       this.sinceMs = sinceMs;
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.decisions.matching.WeightedParts;
+import dev.cactusstack.decisions.matching.WeightedRoundRobin;
 import dev.cactusstack.decisions.placing.ProcessingTimes;
 import dev.cactusstack.decisions.retries.CallerElapsedTime;
 import dev.cactusstack.decisions.retries.RetryWindow;
@@ -42,7 +42,7 @@
     UpstreamWire wire,
     HttpClient client,
     Placement placement,
-    WeightedParts parts,
+    WeightedRoundRobin parts,
     Map<String, RetryWindow> repeats,
     Map<String, IdleReuseLimit> rests,
     ProcessingTimes workTimes,
@@ -81,7 +81,7 @@
         wire,
         client,
         placement,
-        new WeightedParts(),
+        new WeightedRoundRobin(),
         new HashMap<>(),
         new HashMap<>(),
         new ProcessingTimes(),
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.control;
 
-import dev.cactusstack.decisions.matching.RouteTable;
+import dev.cactusstack.decisions.matching.RouteMatcher;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.ConfigurationChange;
 import dev.cactusstack.gateway.site.KnownConfiguration;
@@ -45,7 +45,7 @@
   private Runnable changed = () -> {};
   private Consumer<KnownConfiguration> news = k -> {};
   private @Nullable SiteConfiguration inForce;
-  private RouteTable routes = new RouteTable(List.of());
+  private RouteMatcher routes = new RouteMatcher(List.of());
   private boolean whole;
   private boolean resting;
   private boolean rereading;
@@ -98,7 +98,7 @@
    *
    * @return the routes, none before a configuration is known
    */
-  public RouteTable routes() {
+  public RouteMatcher routes() {
     return routes;
   }
 
@@ -291,7 +291,7 @@
     cursor = Math.max(cursor, next.revision());
     boolean newRules = old == null || old.version() != next.version();
     if (newRules) {
-      routes = new RouteTable(next.routes());
+      routes = new RouteMatcher(next.routes());
     }
     if (old == null || newRules || !old.evacuated().equals(evacuated)) {
       log.event("configuration")
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
@@ -1,15 +1,15 @@
 package dev.cactusstack.gateway.control;
 
 import dev.cactusstack.decisions.gossip.PeerTable;
-import dev.cactusstack.decisions.gossip.Pulse;
-import dev.cactusstack.decisions.gossip.ReaderChoice;
+import dev.cactusstack.decisions.gossip.HeartbeatState;
+import dev.cactusstack.decisions.gossip.ConfigurationReaders;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
 import dev.cactusstack.gateway.site.KnownConfiguration;
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import io.netty.channel.EventLoop;
 import java.util.Collections;
 import java.util.List;
@@ -32,7 +32,7 @@
   private static final long RETRY_MS = 400;
   private static final long SETTLE_MS = 1_500;
   private static final int TOLD_OF_CHANGE = 3;
-  private static final ReaderChoice READERS = new ReaderChoice(6);
+  private static final ConfigurationReaders READERS = new ConfigurationReaders(6);
 
   private final EventLoop loop;
   private final LongSupplier clock;
@@ -41,7 +41,7 @@
   private final PeerTable peers;
   private final Link link;
   private final ConfigurationController configuration;
-  private final HostEntry self;
+  private final HostRegistration self;
   private final Random random;
   private final BooleanSupplier informed;
   private final BooleanSupplier knowing;
@@ -71,7 +71,7 @@
       PeerTable peers,
       Link link,
       ConfigurationController configuration,
-      HostEntry self,
+      HostRegistration self,
       Random random,
       BooleanSupplier informed,
       BooleanSupplier knowing) {
@@ -91,7 +91,7 @@
   /** Registers this host, and begins to gossip once that is done. */
   public void start() {
     startedMs = clock.getAsLong();
-    peers.learn(self, startedMs);
+    peers.recordStart(self, startedMs);
     register();
     loop.schedule(configuration::roleMayHaveChanged, SETTLE_MS, TimeUnit.MILLISECONDS);
   }
@@ -107,7 +107,7 @@
     if (now - startedMs < SETTLE_MS) {
       return false;
     }
-    return !registered || READERS.reads(self, peers.informed(now));
+    return !registered || READERS.isReader(self, peers.reachingStore(now));
   }
 
   /**
@@ -117,7 +117,7 @@
    */
   public void tellOfChange(KnownConfiguration known) {
     var message = new LinkMessage.Rules(known);
-    peers.nearTargets(TOLD_OF_CHANGE, clock.getAsLong()).forEach(e -> link.send(message, e.link()));
+    peers.localTargets(TOLD_OF_CHANGE, clock.getAsLong()).forEach(e -> link.send(message, e.linkAddress()));
   }
 
   /**
@@ -138,7 +138,7 @@
         .register(self)
         .thenCompose(
             entry -> {
-              peers.learn(entry, clock.getAsLong());
+              peers.recordStart(entry, clock.getAsLong());
               return store.readHosts();
             })
         .whenComplete(
@@ -150,7 +150,7 @@
                 loop.schedule(this::register, RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
               }
-              all.forEach(e -> peers.learn(e, clock.getAsLong()));
+              all.forEach(e -> peers.recordStart(e, clock.getAsLong()));
               log.event("registered").with("hosts", all.size()).write();
               registered = true;
               round();
@@ -160,7 +160,7 @@
 
   /** Tells other hosts that this one gets no new callers. */
   public void leave() {
-    peers.leave();
+    peers.markLeaving();
     tell(TOLD_WHEN_LEAVING);
   }
 
@@ -172,8 +172,8 @@
    */
   public void heard(LinkMessage.Beat beat, Address from) {
     long now = clock.getAsLong();
-    for (HostEntry e : beat.news()) {
-      if (peers.learn(e, now)) {
+    for (HostRegistration e : beat.news()) {
+      if (peers.recordStart(e, now)) {
         log.event("host")
             .with("name", e.name())
             .with("data_centre", e.dataCentre())
@@ -181,7 +181,7 @@
             .write();
       }
     }
-    peers.heard(beat.pulses(), now);
+    peers.mergeHeartbeats(beat.pulses(), now);
     configuration.heardOf(
         beat.configurationRevision(), after -> link.send(new LinkMessage.RulesWanted(after), from));
   }
@@ -193,14 +193,14 @@
 
   private void tell(int count) {
     long now = clock.getAsLong();
-    List<Pulse> pulses = peers.round(informed.getAsBoolean(), knowing.getAsBoolean(), now);
+    List<HeartbeatState> pulses = peers.startRound(informed.getAsBoolean(), knowing.getAsBoolean(), now);
     if (pulses.size() > MOST_PULSES) {
       Collections.shuffle(pulses.subList(1, pulses.size()), random);
       pulses = pulses.subList(0, MOST_PULSES);
     }
     var beat =
         new LinkMessage.Beat(
-            configuration.changedAt(), peers.news(NEWS_MS, MOST_NEWS, now), pulses);
-    peers.targets(count, now).forEach(e -> link.send(beat, e.link()));
+            configuration.changedAt(), peers.recentlyStarted(NEWS_MS, MOST_NEWS, now), pulses);
+    peers.gossipTargets(count, now).forEach(e -> link.send(beat, e.linkAddress()));
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
@@ -4,9 +4,9 @@
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.gateway.site.StoreFailure;
 import dev.cactusstack.gateway.site.UpstreamChange;
-import dev.cactusstack.model.site.ServiceRule;
+import dev.cactusstack.model.site.ServiceSettings;
 import dev.cactusstack.model.site.SiteConfiguration;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -139,11 +139,11 @@
    * @param service the service's name
    * @return their entries, with how long each is cold from now
    */
-  public List<UpstreamEntry> usable(String service) {
+  public List<UpstreamRegistration> usable(String service) {
     long now = clock.getAsLong();
-    List<UpstreamEntry> out = new ArrayList<>();
+    List<UpstreamRegistration> out = new ArrayList<>();
     for (Known k : known.values()) {
-      UpstreamEntry e = k.entry;
+      UpstreamRegistration e = k.entry;
       if (e.service().equals(service) && !e.leaving() && !evacuated(e.dataCentre())) {
         out.add(coldFrom(e, Math.max(0, k.coldUntilMs - now)));
       }
@@ -157,19 +157,19 @@
    * @param service the service's name
    * @return the rule; one for a service without cold upstreams if operators say nothing
    */
-  public ServiceRule rule(String service) {
+  public ServiceSettings rule(String service) {
     return configuration
         .get()
         .map(c -> c.services().get(service))
-        .orElseGet(() -> new ServiceRule(service, "", 1, 0, 0));
+        .orElseGet(() -> new ServiceSettings(service, "", 1, 0, 0));
   }
 
   private boolean evacuated(String dataCentre) {
     return configuration.get().map(c -> c.evacuated().contains(dataCentre)).orElse(false);
   }
 
-  private static UpstreamEntry coldFrom(UpstreamEntry e, long coldForMs) {
-    return new UpstreamEntry(
+  private static UpstreamRegistration coldFrom(UpstreamRegistration e, long coldForMs) {
+    return new UpstreamRegistration(
         e.id(),
         e.service(),
         e.address(),
@@ -177,7 +177,7 @@
         e.slots(),
         e.leaving(),
         coldForMs,
-        e.bornMs());
+        e.startedAtMs());
   }
 
   private void pollLater() {
@@ -257,14 +257,14 @@
     changed.run();
   }
 
-  private void announced(UpstreamEntry e, long now) {
+  private void announced(UpstreamRegistration e, long now) {
     Known old = known.get(e.id());
-    if (old != null && e.bornMs() < old.entry.bornMs()) {
+    if (old != null && e.startedAtMs() < old.entry.startedAtMs()) {
       return;
     }
     boolean material =
         old == null
-            || !e.sameIncarnation(old.entry)
+            || !e.isSameIncarnation(old.entry)
             || e.leaving() != old.entry.leaving()
             || !e.address().equals(old.entry.address());
     if (material) {
@@ -274,11 +274,11 @@
           .with("address", e.address().toString())
           .with("data_centre", e.dataCentre())
           .with("state", e.leaving() ? "leaving" : "serving")
-          .with("cold_ms", e.coldForMs())
+          .with("cold_ms", e.warmupRemainingMs())
           .with("revision", revision)
           .write();
     }
-    known.put(e.id(), new Known(e, now + e.coldForMs()));
+    known.put(e.id(), new Known(e, now + e.warmupRemainingMs()));
   }
 
   private void missing(String id, long now) {
@@ -297,11 +297,11 @@
   }
 
   private static final class Known {
-    private final UpstreamEntry entry;
+    private final UpstreamRegistration entry;
     private final long coldUntilMs;
     private long goneAtMs = Long.MAX_VALUE;
 
-    Known(UpstreamEntry entry, long coldUntilMs) {
+    Known(UpstreamRegistration entry, long coldUntilMs) {
       this.entry = entry;
       this.coldUntilMs = coldUntilMs;
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
@@ -6,7 +6,7 @@
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.RequestKind;
 import dev.cactusstack.model.site.RouteRule;
-import dev.cactusstack.model.site.ServiceRule;
+import dev.cactusstack.model.site.ServiceSettings;
 import dev.cactusstack.model.site.SiteConfiguration;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -30,7 +30,7 @@
       writeRoute(out, r);
     }
     out.writeUInt32NoTag(c.services().size());
-    for (ServiceRule s : c.services().values()) {
+    for (ServiceSettings s : c.services().values()) {
       writeService(out, s);
     }
     out.writeUInt32NoTag(c.limits().maxHeaderBytes());
@@ -51,9 +51,9 @@
     for (int n = LinkCodec.count(in); n > 0; n--) {
       routes.add(readRoute(in));
     }
-    Map<String, ServiceRule> services = new HashMap<>();
+    Map<String, ServiceSettings> services = new HashMap<>();
     for (int n = LinkCodec.count(in); n > 0; n--) {
-      ServiceRule s = readService(in);
+      ServiceSettings s = readService(in);
       services.put(s.name(), s);
     }
     var limits =
@@ -72,11 +72,11 @@
     out.writeStringNoTag(r.prefix());
     out.writeUInt32NoTag(r.kind().ordinal());
     out.writeUInt64NoTag(r.timeoutMs());
-    out.writeUInt64NoTag(r.objectiveMs());
+    out.writeUInt64NoTag(r.latencyObjectiveMs());
     out.writeUInt32NoTag(r.priority());
     out.writeUInt32NoTag(r.maxAttempts());
-    out.writeUInt32NoTag(r.parts().size());
-    for (RouteRule.Part p : r.parts()) {
+    out.writeUInt32NoTag(r.weightedServices().size());
+    for (RouteRule.WeightedService p : r.weightedServices()) {
       out.writeStringNoTag(p.service());
       out.writeDoubleNoTag(p.weight());
     }
@@ -91,24 +91,24 @@
     long objectiveMs = in.readUInt64();
     int priority = in.readUInt32();
     int maxAttempts = in.readUInt32();
-    List<RouteRule.Part> parts = new ArrayList<>();
+    List<RouteRule.WeightedService> parts = new ArrayList<>();
     for (int n = LinkCodec.count(in); n > 0; n--) {
-      parts.add(new RouteRule.Part(in.readString(), in.readDouble()));
+      parts.add(new RouteRule.WeightedService(in.readString(), in.readDouble()));
     }
     return new RouteRule(
         name, host, prefix, kind, timeoutMs, objectiveMs, priority, maxAttempts, parts);
   }
 
-  private static void writeService(CodedOutputStream out, ServiceRule s) throws IOException {
+  private static void writeService(CodedOutputStream out, ServiceSettings s) throws IOException {
     out.writeStringNoTag(s.name());
     out.writeStringNoTag(s.healthPath());
     out.writeUInt32NoTag(s.maxConnections());
-    out.writeUInt64NoTag(s.coldMs());
-    out.writeDoubleNoTag(s.coldPerSecond());
+    out.writeUInt64NoTag(s.warmupMs());
+    out.writeDoubleNoTag(s.warmupRequestsPerSecond());
   }
 
-  private static ServiceRule readService(CodedInputStream in) throws IOException {
-    return new ServiceRule(
+  private static ServiceSettings readService(CodedInputStream in) throws IOException {
+    return new ServiceSettings(
         in.readString(), in.readString(), in.readUInt32(), in.readUInt64(), in.readDouble());
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
-import dev.cactusstack.decisions.gossip.Pulse;
+import dev.cactusstack.decisions.gossip.HeartbeatState;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.AttemptOutcome;
@@ -10,8 +10,8 @@
 import dev.cactusstack.decisions.placing.AttemptReport;
 import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.HostRegistration;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -156,31 +156,31 @@
   private static void writeBeat(CodedOutputStream out, LinkMessage.Beat b) throws IOException {
     out.writeUInt64NoTag(b.configurationRevision());
     out.writeUInt32NoTag(b.news().size());
-    for (HostEntry e : b.news()) {
+    for (HostRegistration e : b.news()) {
       out.writeStringNoTag(e.name());
       out.writeStringNoTag(e.dataCentre());
-      writeAddress(out, e.callers());
-      writeAddress(out, e.link());
+      writeAddress(out, e.callerAddress());
+      writeAddress(out, e.linkAddress());
       out.writeUInt32NoTag(e.milliCores());
       out.writeUInt64NoTag(e.incarnation());
     }
     out.writeUInt32NoTag(b.pulses().size());
-    for (Pulse p : b.pulses()) {
-      out.writeFixed32NoTag(p.host());
+    for (HeartbeatState p : b.pulses()) {
+      out.writeFixed32NoTag(p.hostHash());
       out.writeUInt64NoTag(p.incarnation());
-      out.writeUInt64NoTag(p.beat());
+      out.writeUInt64NoTag(p.counter());
       out.writeBoolNoTag(p.leaving());
-      out.writeBoolNoTag(p.informed());
-      out.writeBoolNoTag(p.knowing());
+      out.writeBoolNoTag(p.reachesStore());
+      out.writeBoolNoTag(p.knowsUpstreams());
     }
   }
 
   private static LinkMessage readBeat(CodedInputStream in) throws IOException {
     long revision = in.readUInt64();
-    List<HostEntry> news = new ArrayList<>();
+    List<HostRegistration> news = new ArrayList<>();
     for (int n = count(in); n > 0; n--) {
       news.add(
-          new HostEntry(
+          new HostRegistration(
               in.readString(),
               in.readString(),
               readAddress(in),
@@ -188,10 +188,10 @@
               in.readUInt32(),
               in.readUInt64()));
     }
-    List<Pulse> pulses = new ArrayList<>();
+    List<HeartbeatState> pulses = new ArrayList<>();
     for (int n = count(in); n > 0; n--) {
       pulses.add(
-          new Pulse(
+          new HeartbeatState(
               in.readFixed32(),
               in.readUInt64(),
               in.readUInt64(),
@@ -257,17 +257,17 @@
     };
   }
 
-  private static void writeUpstream(CodedOutputStream out, UpstreamEntry u) throws IOException {
+  private static void writeUpstream(CodedOutputStream out, UpstreamRegistration u) throws IOException {
     out.writeStringNoTag(u.id());
     out.writeStringNoTag(u.service());
     writeAddress(out, u.address());
     out.writeStringNoTag(u.dataCentre());
     out.writeUInt32NoTag(u.slots());
-    out.writeUInt64NoTag(u.bornMs());
+    out.writeUInt64NoTag(u.startedAtMs());
   }
 
-  private static UpstreamEntry readUpstream(CodedInputStream in) throws IOException {
-    return new UpstreamEntry(
+  private static UpstreamRegistration readUpstream(CodedInputStream in) throws IOException {
+    return new UpstreamRegistration(
         in.readString(),
         in.readString(),
         readAddress(in),
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
@@ -1,12 +1,12 @@
 package dev.cactusstack.gateway.scheduling;
 
-import dev.cactusstack.decisions.gossip.Pulse;
+import dev.cactusstack.decisions.gossip.HeartbeatState;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.AttemptReport;
 import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.gateway.site.KnownConfiguration;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.List;
 
 /** What hosts tell each other, one datagram each. Implementations are immutable. */
@@ -18,7 +18,7 @@
    * @param news entries of hosts whose start is news, the sender's own first
    * @param pulses heartbeat counters
    */
-  record Beat(long configurationRevision, List<HostEntry> news, List<Pulse> pulses)
+  record Beat(long configurationRevision, List<HostRegistration> news, List<HeartbeatState> pulses)
       implements LinkMessage {
     /** Copies the components. */
     public Beat {
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Placement.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Placement.java
@@ -9,7 +9,7 @@
 import dev.cactusstack.decisions.routing.SchedulerRanking;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.model.Address;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import io.netty.channel.EventLoop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -200,21 +200,21 @@
   /** The host to ask, or nothing when it is this one. */
   private Optional<Address> owner(Pending p) {
     long now = clock.getAsLong();
-    for (HostEntry e : ranking(p.service, now)) {
-      Long suspected = suspects.get(e.link());
+    for (HostRegistration e : ranking(p.service, now)) {
+      Long suspected = suspects.get(e.linkAddress());
       if (suspected == null || now - suspected >= SUSPECT_MS) {
-        return PeerTable.hash(e.name()) == self ? Optional.empty() : Optional.of(e.link());
+        return PeerTable.hash(e.name()) == self ? Optional.empty() : Optional.of(e.linkAddress());
       }
     }
     return Optional.empty();
   }
 
-  private List<HostEntry> ranking(String service, long now) {
+  private List<HostRegistration> ranking(String service, long now) {
     Ranking known = rankings.get(service);
     if (known != null && now - known.sinceMs < RANKING_MS) {
       return known.hosts;
     }
-    List<HostEntry> ranked = SchedulerRanking.of(service, peers.schedulers(now), RANKED);
+    List<HostRegistration> ranked = SchedulerRanking.rank(service, peers.eligibleSchedulers(now), RANKED);
     rankings.put(service, new Ranking(ranked, now));
     return ranked;
   }
@@ -302,7 +302,7 @@
     p.end.accept(v);
   }
 
-  private record Ranking(List<HostEntry> hosts, long sinceMs) {}
+  private record Ranking(List<HostRegistration> hosts, long sinceMs) {}
 
   private static final class Pending {
     private final String service;
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.gateway.net.Outgoing;
 import dev.cactusstack.gateway.net.Reply;
 import dev.cactusstack.gateway.site.UpstreamWire;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -40,13 +40,13 @@
     return sent;
   }
 
-  void probe(UpstreamEntry u, String path, Consumer<ReportedLoad> figures) {
+  void probe(UpstreamRegistration u, String path, Consumer<ReportedLoad> figures) {
     sent++;
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.HOST, u.address().toString());
     var request =
         new Outgoing(
-            u.pool(),
+            u.connectionPoolKey(),
             u.address(),
             HttpMethod.GET,
             path,
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Schedulers.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Schedulers.java
@@ -9,7 +9,7 @@
 import dev.cactusstack.gateway.control.UpstreamsController;
 import dev.cactusstack.gateway.observe.EventLine;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.List;
@@ -163,7 +163,7 @@
     for (String service : askedAt.keySet()) {
       Scheduler s = scheduler(service);
       String path = upstreams.rule(service).healthPath();
-      for (UpstreamEntry u : path.isEmpty() ? List.<UpstreamEntry>of() : s.selectProbeTargets(now)) {
+      for (UpstreamRegistration u : path.isEmpty() ? List.<UpstreamRegistration>of() : s.selectProbeTargets(now)) {
         prober.probe(
             u, path, figures -> deliver(service, s.recordProbeResponse(u.id(), figures, clock.getAsLong())));
       }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationChange.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.RouteRule;
-import dev.cactusstack.model.site.ServiceRule;
+import dev.cactusstack.model.site.ServiceSettings;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -38,7 +38,7 @@
   public record Rules(
       long version,
       List<RouteRule> routes,
-      Map<String, ServiceRule> services,
+      Map<String, ServiceSettings> services,
       CallerLimits limits) {
     /** Copies the components. */
     public Rules {
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.site;
 
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
@@ -46,7 +46,7 @@
    *
    * @return their entries
    */
-  CompletableFuture<List<HostEntry>> readHosts();
+  CompletableFuture<List<HostRegistration>> readHosts();
 
   /**
    * Writes this host's entry.
@@ -54,7 +54,7 @@
    * @param entry the entry; its incarnation is not used
    * @return the entry with the incarnation that the store gave it
    */
-  CompletableFuture<HostEntry> register(HostEntry entry);
+  CompletableFuture<HostRegistration> register(HostRegistration entry);
 
   /**
    * Counts the calls made so far.
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.site;
 
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.util.Map;
 import java.util.Optional;
 
@@ -12,7 +12,7 @@
  * @param entries entries by identity; empty ones name no upstream
  */
 public record UpstreamChange(
-    long revision, boolean complete, Map<String, Optional<UpstreamEntry>> entries) {
+    long revision, boolean complete, Map<String, Optional<UpstreamRegistration>> entries) {
   /** Copies the components. */
   public UpstreamChange {
     entries = Map.copyOf(entries);
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.gateway.site.StoreFailure;
 import dev.cactusstack.gateway.site.UpstreamChange;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -51,12 +51,12 @@
   }
 
   @Override
-  public CompletableFuture<List<HostEntry>> readHosts() {
+  public CompletableFuture<List<HostRegistration>> readHosts() {
     return new CompletableFuture<>();
   }
 
   @Override
-  public CompletableFuture<HostEntry> register(HostEntry entry) {
+  public CompletableFuture<HostRegistration> register(HostRegistration entry) {
     return new CompletableFuture<>();
   }
 
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
@@ -46,7 +46,7 @@
           new Prober(
               new HttpClient(time.loop(), new ClientLimits(100, 100, false, 1_000), time::nowMs),
               noWire()),
-          () -> peers.othersInformed(time.nowMs()));
+          () -> peers.anotherHostReachesStore(time.nowMs()));
   private final Placement placement =
       new Placement(
           time.loop(), time::nowMs, log, new Link(time.loop(), log), peers, schedulers, "self", 0);
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
@@ -8,7 +8,7 @@
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.SiteConfiguration;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.io.OutputStream;
 import java.util.HashMap;
 import java.util.List;
@@ -33,14 +33,14 @@
                       1, 1, List.of(), Map.of(), CallerLimits.DEFAULT, evacuated)));
   private int ran;
 
-  private static UpstreamEntry upstream(String id, boolean leaving, long coldForMs, long born) {
-    return new UpstreamEntry(
+  private static UpstreamRegistration upstream(String id, boolean leaving, long coldForMs, long born) {
+    return new UpstreamRegistration(
         id, "s", new Address("127.0.0.1", 80), "dc", 4, leaving, coldForMs, born);
   }
 
-  private static UpstreamChange change(long revision, boolean complete, UpstreamEntry... entries) {
-    Map<String, Optional<UpstreamEntry>> map = new HashMap<>();
-    for (UpstreamEntry e : entries) {
+  private static UpstreamChange change(long revision, boolean complete, UpstreamRegistration... entries) {
+    Map<String, Optional<UpstreamRegistration>> map = new HashMap<>();
+    for (UpstreamRegistration e : entries) {
       map.put(e.id(), Optional.of(e));
     }
     return new UpstreamChange(revision, complete, map);
@@ -51,7 +51,7 @@
   }
 
   private List<String> usable() {
-    return controller.usable("s").stream().map(UpstreamEntry::id).sorted().toList();
+    return controller.usable("s").stream().map(UpstreamRegistration::id).sorted().toList();
   }
 
   /** Reads as long as this host is in use. */
@@ -145,9 +145,9 @@
     use();
     answer(0, change(10, true, upstream("a", false, 3_000, 1)));
     time.run(1_000);
-    assertThat(controller.usable("s").get(0).coldForMs()).isEqualTo(2_000);
+    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isEqualTo(2_000);
     time.run(2_500);
-    assertThat(controller.usable("s").get(0).coldForMs()).isZero();
+    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isZero();
   }
 
   @Test
--- a/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dev.cactusstack.decisions.gossip.Pulse;
+import dev.cactusstack.decisions.gossip.HeartbeatState;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.AttemptOutcome;
@@ -13,12 +13,12 @@
 import dev.cactusstack.gateway.site.KnownConfiguration;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
-import dev.cactusstack.model.site.HostEntry;
+import dev.cactusstack.model.site.HostRegistration;
 import dev.cactusstack.model.site.RequestKind;
 import dev.cactusstack.model.site.RouteRule;
-import dev.cactusstack.model.site.ServiceRule;
+import dev.cactusstack.model.site.ServiceSettings;
 import dev.cactusstack.model.site.SiteConfiguration;
-import dev.cactusstack.model.site.UpstreamEntry;
+import dev.cactusstack.model.site.UpstreamRegistration;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
@@ -36,13 +36,13 @@
       List.of(
           new LinkMessage.Beat(
               77,
-              List.of(new HostEntry("h", "dc", A, A, 600, 3)),
+              List.of(new HostRegistration("h", "dc", A, A, 600, 3)),
               List.of(
-                  new Pulse(-1, 9, 4, true, false, true), new Pulse(2, 1, 1, false, true, false))),
+                  new HeartbeatState(-1, 9, 4, true, false, true), new HeartbeatState(2, 1, 1, false, true, false))),
           new LinkMessage.Asked(
               "s", new PlacementRequest(KEY, "dc", "r", 2, 300, 250, 900, 60_000, true, Set.of("u"))),
           new LinkMessage.Decided(
-              new PlacementDecision.Placed(KEY, new UpstreamEntry("u", "s", A, "dc", 4, false, 0, 5))),
+              new PlacementDecision.Placed(KEY, new UpstreamRegistration("u", "s", A, "dc", 4, false, 0, 5))),
           new LinkMessage.Decided(new PlacementDecision.Rejected(KEY, 40)),
           new LinkMessage.Decided(new PlacementDecision.Queued(KEY)),
           new LinkMessage.Ended(
@@ -73,8 +73,8 @@
                               300,
                               1,
                               2,
-                              List.of(new RouteRule.Part("s", 3.5)))),
-                      Map.of("s", new ServiceRule("s", "/health", 260, 3_000, 6.6)),
+                              List.of(new RouteRule.WeightedService("s", 3.5)))),
+                      Map.of("s", new ServiceSettings("s", "/health", 260, 3_000, 6.6)),
                       CallerLimits.DEFAULT,
                       Set.of("dc")),
                   79)));
--- a/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
+++ b/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.host;
 
-import dev.cactusstack.decisions.limits.SpendingLimit;
+import dev.cactusstack.decisions.limits.TokenBucket;
 import dev.cactusstack.host.control.LinkSender;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.link.LinkMessage;
@@ -12,7 +12,7 @@
 /** Sends messages while the budget for control traffic allows; drops the others. Thread-safe. */
 final class BudgetedSender implements LinkSender {
   private final LinkTransport transport;
-  private final SpendingLimit budget;
+  private final TokenBucket budget;
   private final Ticker ticker;
 
   private final Predicate<Address> crossesDataCentres;
@@ -20,7 +20,7 @@
 
   BudgetedSender(
       LinkTransport transport,
-      SpendingLimit budget,
+      TokenBucket budget,
       Ticker ticker,
       Predicate<Address> crossesDataCentres) {
     this.crossesDataCentres = crossesDataCentres;
@@ -36,7 +36,7 @@
 
   @Override
   public void send(Address to, LinkMessage m) {
-    int sent = transport.send(to, m, bytes -> budget.spend(bytes, ticker.millis()));
+    int sent = transport.send(to, m, bytes -> budget.tryAcquire(bytes, ticker.millis()));
     if (crossesDataCentres.test(to)) {
       crossBytes.add(sent);
     }
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -1,11 +1,11 @@
 package dev.cactusstack.host;
 
 import com.google.common.flogger.FluentLogger;
-import dev.cactusstack.decisions.limits.SpendingLimit;
+import dev.cactusstack.decisions.limits.TokenBucket;
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberInfo;
 import dev.cactusstack.decisions.membership.MemberStatus;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.callers.CallersServer;
 import dev.cactusstack.host.callers.ForwardToken;
 import dev.cactusstack.host.callers.KeyedRequests;
@@ -57,7 +57,7 @@
   private final XnioWorker worker;
   private final ControlLoop loop;
   private final LinkTransport transport;
-  private final SpendingLimit budget;
+  private final TokenBucket budget;
   private final BudgetedSender sender;
   private volatile @Nullable Controllers running;
   private final Controllers controllers;
@@ -65,7 +65,7 @@
   private final OperatorsServer operators;
   private volatile boolean closed;
 
-  private EntryHost(HostSettings settings, Ticker ticker, InstantSource clock, PickPolicy policy) {
+  private EntryHost(HostSettings settings, Ticker ticker, InstantSource clock, LoadBalancingPolicy policy) {
     this.settings = Objects.requireNonNull(settings, "settings is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     Objects.requireNonNull(clock, "clock is null");
@@ -81,7 +81,7 @@
     transport = LinkTransport.open(new LinkCodec(keys), settings.link().address(), receiver);
     Member self = self(settings, clock.millis());
     budget =
-        new SpendingLimit(
+        new TokenBucket(
             settings.link().bytesPerSecond(),
             (double) settings.link().bytesPerSecond() * LINK_BURST_SECONDS,
             ticker.millis());
@@ -125,7 +125,7 @@
         "cactusstack.link.over.budget",
         "Datagrams not sent because the budget was spent",
         budget,
-        b -> b.refused());
+        b -> b.rejectedCount());
     metrics.gauge(
         "cactusstack.configuration.version",
         "Table version in force",
@@ -161,7 +161,7 @@
    * @return the running host, which may not have any configuration yet
    */
   public static EntryHost start(
-      HostSettings settings, Ticker ticker, InstantSource clock, PickPolicy policy) {
+      HostSettings settings, Ticker ticker, InstantSource clock, LoadBalancingPolicy policy) {
     var host = new EntryHost(settings, ticker, clock, policy);
     host.loop.start();
     host.callers.start();
@@ -229,7 +229,7 @@
    * @return the count
    */
   public long linkRefused() {
-    return budget.refused();
+    return budget.rejectedCount();
   }
 
   private boolean isElsewhere(Address link) {
--- a/host/src/main/java/dev/cactusstack/host/HostMain.java
+++ b/host/src/main/java/dev/cactusstack/host/HostMain.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.host;
 
 import com.google.common.flogger.FluentLogger;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.LogSetup;
 import dev.cactusstack.host.observe.Ticker;
@@ -115,7 +115,7 @@
   private static void serve(HostSettings settings) {
     EntryHost host =
         EntryHost.start(
-            settings, Ticker.SYSTEM, InstantSource.system(), PickPolicy.EXPECTED_ANSWER);
+            settings, Ticker.SYSTEM, InstantSource.system(), LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     ShutdownSignals.install(java.util.List.of(host));
     try {
       while (!host.awaitReady(READY_LOG_MS)) {
--- a/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.host.callers;
 
-import dev.cactusstack.decisions.limits.SpendingLimit;
+import dev.cactusstack.decisions.limits.TokenBucket;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
@@ -29,7 +29,7 @@
   private static final int DIGEST_BYTES = 16;
 
   private final ClaimStore store;
-  private final SpendingLimit perSecond;
+  private final TokenBucket perSecond;
   private final Ticker ticker;
 
   /** A claim that this host holds. */
@@ -48,7 +48,7 @@
   public KeyedRequests(ClaimStore store, int claimsPerSecond, Ticker ticker) {
     this.store = Objects.requireNonNull(store, "store is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-    this.perSecond = new SpendingLimit(claimsPerSecond, claimsPerSecond, ticker.millis());
+    this.perSecond = new TokenBucket(claimsPerSecond, claimsPerSecond, ticker.millis());
   }
 
   /** Whether a request must be claimed: the first host claims it, the owner does not. */
@@ -59,7 +59,7 @@
   }
 
   CompletableFuture<Admission> admit(HttpServerExchange x, RequestFacts facts) {
-    if (!perSecond.spend(1, ticker.millis())) {
+    if (!perSecond.tryAcquire(1, ticker.millis())) {
       return CompletableFuture.completedFuture(
           refused(
               ProblemKind.OVERLOADED,
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.host.callers;
 
-import dev.cactusstack.decisions.routing.GroupOutlook;
-import dev.cactusstack.decisions.routing.PickPolicy;
-import dev.cactusstack.decisions.routing.UpstreamView;
+import dev.cactusstack.decisions.routing.GroupStatistics;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
+import dev.cactusstack.decisions.routing.UpstreamSnapshot;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.Problem;
@@ -26,7 +26,7 @@
  */
 public final class RouteScheduler {
   private final RouteKey key;
-  private final PickPolicy policy;
+  private final LoadBalancingPolicy policy;
   private final Ticker ticker;
   private final ConcurrentLinkedQueue<Waiter> queue = new ConcurrentLinkedQueue<>();
   private final AtomicInteger waiting = new AtomicInteger();
@@ -43,7 +43,7 @@
    * @param policy chooses among the upstreams
    * @param ticker the clock
    */
-  public RouteScheduler(RouteKey key, PickPolicy policy, Ticker ticker) {
+  public RouteScheduler(RouteKey key, LoadBalancingPolicy policy, Ticker ticker) {
     this.key = Objects.requireNonNull(key, "key is null");
     this.policy = Objects.requireNonNull(policy, "policy is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -148,16 +148,16 @@
   }
 
   /** What the upstreams can be expected to do now. */
-  GroupOutlook outlook() {
-    return GroupOutlook.of(views(upstreams, limits, ticker.nanos()));
+  GroupStatistics outlook() {
+    return GroupStatistics.of(views(upstreams, limits, ticker.nanos()));
   }
 
   /** How long one more request would wait, in milliseconds. */
   double expectedWaitMs() {
-    GroupOutlook o = outlook();
+    GroupStatistics o = outlook();
     boolean routeFull = inFlight.get() >= limits.inFlight();
     int ahead = waiting() + 1;
-    return routeFull ? o.waitMs(o.quickFree() + ahead) : o.waitMs(ahead);
+    return routeFull ? o.estimatedWaitMs(o.fastFreeCapacity() + ahead) : o.estimatedWaitMs(ahead);
   }
 
   /**
@@ -246,9 +246,9 @@
     // Another thread may take the chosen place first; each retry sees the newer counts.
     for (int i = 0; i <= candidates.size(); i++) {
       long now = ticker.nanos();
-      List<UpstreamView> views = views(candidates, l, now);
-      GroupOutlook outlook = GroupOutlook.of(views);
-      usualMs = outlook.usualMs();
+      List<UpstreamSnapshot> views = views(candidates, l, now);
+      GroupStatistics outlook = GroupStatistics.of(views);
+      usualMs = outlook.typicalCostMs();
       OptionalInt choice = policy.pick(views, outlook, turn.getAndIncrement(), waits);
       if (choice.isEmpty()) {
         return null;
@@ -262,8 +262,8 @@
     return null;
   }
 
-  private static List<UpstreamView> views(List<Upstream> upstreams, RouteLimits l, long now) {
-    var views = new ArrayList<UpstreamView>(upstreams.size());
+  private static List<UpstreamSnapshot> views(List<Upstream> upstreams, RouteLimits l, long now) {
+    var views = new ArrayList<UpstreamSnapshot>(upstreams.size());
     for (Upstream u : upstreams) {
       views.add(u.view(l.perUpstream(), now));
     }
--- a/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.host.callers;
 
-import dev.cactusstack.decisions.routing.UpstreamView;
+import dev.cactusstack.decisions.routing.UpstreamSnapshot;
 import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.decisions.state.UpstreamHealth;
 import dev.cactusstack.decisions.state.UpstreamState;
@@ -86,10 +86,10 @@
     }
   }
 
-  UpstreamView view(int operatorLimit, long nowNanos) {
+  UpstreamSnapshot view(int operatorLimit, long nowNanos) {
     UpstreamHealth h = health();
     long nowMs = TimeUnit.NANOSECONDS.toMillis(nowNanos);
-    return new UpstreamView(
+    return new UpstreamSnapshot(
         inFlight.get(),
         h.effectiveLimit(operatorLimit, nowMs),
         h.latencyMs(),
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import dev.cactusstack.decisions.membership.Member;
-import dev.cactusstack.decisions.routing.Rendezvous;
+import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.http.HttpFailure;
@@ -11,7 +11,7 @@
 import dev.cactusstack.link.LinkMessage;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.HostId;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.storage.TableStore;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -48,15 +48,15 @@
   private final Executor loop;
   private final Ticker ticker;
   private final long readIntervalMs;
-  private final List<Consumer<Table>> listeners = new ArrayList<>();
-  private volatile Table inForce = Table.EMPTY;
+  private final List<Consumer<ConfigurationTable>> listeners = new ArrayList<>();
+  private volatile ConfigurationTable inForce = ConfigurationTable.EMPTY;
   private volatile boolean storeReachable;
   private boolean reading;
   private long nextReadMs;
   private @Nullable Pull pull;
 
   /** Rows being taken from another host, page by page. */
-  private record Pull(Address from, ChangeCursor after, Table rows, long sentMs) {}
+  private record Pull(Address from, ChangeCursor after, ConfigurationTable rows, long sentMs) {}
 
   /**
    * Creates a controller without any configuration.
@@ -88,7 +88,7 @@
    *
    * @return the table
    */
-  public Table inForce() {
+  public ConfigurationTable inForce() {
     return inForce;
   }
 
@@ -115,12 +115,12 @@
    *
    * @param rows the rows
    */
-  public void learn(Table rows) {
+  public void learn(ConfigurationTable rows) {
     Objects.requireNonNull(rows, "rows is null");
     loop.execute(() -> apply(rows, "operator"));
   }
 
-  void onChange(Consumer<Table> listener) {
+  void onChange(Consumer<ConfigurationTable> listener) {
     listeners.add(listener);
   }
 
@@ -140,7 +140,7 @@
         .whenComplete((rows, t) -> loop.execute(() -> finishRead(rows, t)));
   }
 
-  private void finishRead(@Nullable Table rows, @Nullable Throwable t) {
+  private void finishRead(@Nullable ConfigurationTable rows, @Nullable Throwable t) {
     reading = false;
     boolean ok = rows != null;
     if (ok != storeReachable) {
@@ -171,7 +171,7 @@
             .filter(m -> m.isServing() && m.info().dataCentre().equals(self.info().dataCentre()))
             .map(Member::id)
             .toList();
-    return Rendezvous.ranked("table-reader", here, READERS_PER_DATA_CENTRE).contains(self.id());
+    return RendezvousHash.ranked("table-reader", here, READERS_PER_DATA_CENTRE).contains(self.id());
   }
 
   private void pullIfBehind(long now) {
@@ -180,7 +180,7 @@
       return;
     }
     pull = null;
-    newerHost().ifPresent(to -> ask(to, ChangeCursor.afterVersion(inForce.version()), Table.EMPTY));
+    newerHost().ifPresent(to -> ask(to, ChangeCursor.afterVersion(inForce.version()), ConfigurationTable.EMPTY));
   }
 
   private Optional<Address> newerHost() {
@@ -196,7 +196,7 @@
         .map(m -> m.info().link());
   }
 
-  private void ask(Address to, ChangeCursor after, Table rows) {
+  private void ask(Address to, ChangeCursor after, ConfigurationTable rows) {
     pull = new Pull(to, after, rows, ticker.millis());
     sender.send(to, new LinkMessage(members.self(), List.of(), new LinkBody.ChangesQuery(after)));
   }
@@ -211,7 +211,7 @@
     if (p == null || !p.from.equals(from)) {
       return;
     }
-    Table rows = p.rows.merge(page.rows());
+    ConfigurationTable rows = p.rows.merge(page.rows());
     ChangeCursor last = ChangeCursor.lastOf(page.rows());
     if (page.more() && last.compareTo(p.after) > 0) {
       ask(from, last, rows);
@@ -221,9 +221,9 @@
     }
   }
 
-  private void apply(Table rows, String source) {
-    Table before = inForce;
-    Table after = before.merge(rows);
+  private void apply(ConfigurationTable rows, String source) {
+    ConfigurationTable before = inForce;
+    ConfigurationTable after = before.merge(rows);
     if (after.version() <= before.version()) {
       return;
     }
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -7,7 +7,7 @@
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.storage.TableStore;
 import dev.cactusstack.storage.TableStore.CommitOutcome;
 import java.util.Objects;
@@ -82,7 +82,7 @@
     }
 
     CompletableFuture<EditOutcome> readAndCommit(int tries) {
-      Table known = configuration.inForce();
+      ConfigurationTable known = configuration.inForce();
       return store
           .changesAfter(known.version())
           .handle(
@@ -91,7 +91,7 @@
           .thenCompose(f -> f);
     }
 
-    private CompletableFuture<EditOutcome> decide(Table now, int tries) {
+    private CompletableFuture<EditOutcome> decide(ConfigurationTable now, int tries) {
       configuration.learn(now);
       ChangePlan.Step.Commit earlier = lost;
       if (earlier == null) {
@@ -110,14 +110,14 @@
       };
     }
 
-    private CompletableFuture<EditOutcome> start(Table now, int tries) {
+    private CompletableFuture<EditOutcome> start(ConfigurationTable now, int tries) {
       ChangePlan.Step step = plan.nextStep(now);
       return step instanceof ChangePlan.Step.Commit c
           ? commit(c, now, tries)
           : done(((ChangePlan.Step.Done) step).outcome());
     }
 
-    private CompletableFuture<EditOutcome> commit(ChangePlan.Step.Commit c, Table base, int tries) {
+    private CompletableFuture<EditOutcome> commit(ChangePlan.Step.Commit c, ConfigurationTable base, int tries) {
       return store
           .commit(c.routes(), c.dataCentres())
           .handle(
@@ -127,7 +127,7 @@
     }
 
     private CompletableFuture<EditOutcome> committed(
-        ChangePlan.Step.Commit commit, Table base, CommitOutcome o, int tries) {
+        ChangePlan.Step.Commit commit, ConfigurationTable base, CommitOutcome o, int tries) {
       if (o instanceof CommitOutcome.Committed c) {
         // The platform may go down before the next read. The rows are put into force from the
         // commit
--- a/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
+++ b/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberStatus;
 import dev.cactusstack.decisions.membership.ServiceRate;
-import dev.cactusstack.decisions.routing.Rendezvous;
+import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.decisions.routing.TrafficSplit;
 import dev.cactusstack.decisions.state.UpstreamState;
 import dev.cactusstack.host.callers.Entry;
@@ -19,7 +19,7 @@
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -54,7 +54,7 @@
   }
 
   RoutingView view(
-      Table table,
+      ConfigurationTable table,
       Map<RouteKey, List<Upstream>> upstreams,
       Map<RouteKey, RouteScheduler> schedulers) {
     var targets = new TreeMap<ServiceName, List<Target>>();
@@ -62,7 +62,7 @@
       List<Target> list = targets.computeIfAbsent(r.key().service(), s -> new ArrayList<>());
       RouteScheduler scheduler = schedulers.get(r.key());
       boolean usable =
-          r.weight() > 0 && !table.isOut(r.key().dataCentre()) && canServe(upstreams.get(r.key()));
+          r.weight() > 0 && !table.isEvacuated(r.key().dataCentre()) && canServe(upstreams.get(r.key()));
       if (usable && scheduler != null) {
         owner(r.key(), scheduler).ifPresent(o -> list.add(new Target(r.key(), r.weight(), o)));
       }
@@ -88,7 +88,7 @@
   private Optional<RouteOwner> owner(RouteKey key, RouteScheduler scheduler) {
     List<HostId> candidates =
         byDataCentre.getOrDefault(key.dataCentre(), List.copyOf(byId.keySet()));
-    return Rendezvous.first(key.toString(), candidates)
+    return RendezvousHash.first(key.toString(), candidates)
         .flatMap(id -> Optional.ofNullable(byId.get(id)))
         .map(m -> owner(m, scheduler));
   }
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import dev.cactusstack.decisions.membership.Member;
 import dev.cactusstack.decisions.membership.MemberStatus;
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.host.callers.RouteScheduler;
 import dev.cactusstack.host.callers.RoutingView;
@@ -17,7 +17,7 @@
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.storage.HostChanges;
 import dev.cactusstack.storage.HostList;
 import java.util.HashMap;
@@ -49,12 +49,12 @@
   private final MembershipController members;
   private final Executor loop;
   private final Ticker ticker;
-  private final PickPolicy policy;
+  private final LoadBalancingPolicy policy;
   private final int queueLength;
   private final Map<RouteKey, RouteScheduler> schedulers = new HashMap<>();
   private final Map<Address, Upstream> upstreams = new HashMap<>();
   private Map<Address, ListedHost> listed = new TreeMap<>();
-  private Table table = Table.EMPTY;
+  private ConfigurationTable table = ConfigurationTable.EMPTY;
   private long revision;
   private Set<Serving> serving = Set.of();
   private boolean ratesChanged;
@@ -80,7 +80,7 @@
       MembershipController members,
       Executor loop,
       Ticker ticker,
-      PickPolicy policy,
+      LoadBalancingPolicy policy,
       int queueLength) {
     this.hostList = Objects.requireNonNull(hostList, "hostList is null");
     this.members = Objects.requireNonNull(members, "members is null");
@@ -164,7 +164,7 @@
         });
   }
 
-  void changeTable(Table next) {
+  void changeTable(ConfigurationTable next) {
     table = next;
     rebuild();
   }
--- a/host/src/main/java/dev/cactusstack/host/operators/JsonReplies.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/JsonReplies.java
@@ -53,7 +53,7 @@
   private static ObjectNode conflict(EditOutcome.Conflict c) {
     ObjectNode n = Json.object().put("outcome", "conflict");
     ArrayNode list = n.putArray("conflicts");
-    c.sides()
+    c.rowConflicts()
         .forEach(
             s -> {
               ObjectNode o = list.addObject();
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
@@ -16,7 +16,7 @@
 import dev.cactusstack.model.HostId;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.Collection;
 import java.util.Objects;
 
@@ -51,7 +51,7 @@
   }
 
   ObjectNode table() {
-    Table t = configuration.inForce();
+    ConfigurationTable t = configuration.inForce();
     ObjectNode n = Json.object().put("version", t.version());
     ArrayNode rows = n.putArray("rows");
     t.routes().values().forEach(r -> rows.add(JsonReplies.row(r)));
@@ -63,7 +63,7 @@
                 dataCentres
                     .addObject()
                     .put("data_centre", d.dataCentre().value())
-                    .put("out", d.out())
+                    .put("out", d.evacuated())
                     .put("version", d.version()));
     return n;
   }
--- a/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
+++ b/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.cactusstack.decisions.routing.PickPolicy;
+import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.Problem;
@@ -68,7 +68,7 @@
 
   private static RouteScheduler scheduler(
       List<Upstream> ups, int limit, int perUpstream, int queue) {
-    var s = new RouteScheduler(KEY, PickPolicy.EXPECTED_ANSWER, () -> 0);
+    var s = new RouteScheduler(KEY, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, () -> 0);
     s.configure(ups, limit, perUpstream, queue);
     return s;
   }
--- a/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
+++ b/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
@@ -16,7 +16,7 @@
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteColumn;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.storage.TableStore;
 import java.util.List;
 import java.util.OptionalLong;
@@ -31,7 +31,7 @@
   /** A table service in memory that is down after a number of reads. */
   private static final class FailingStore implements TableStore {
     private final boolean loseCommits;
-    private Table table;
+    private ConfigurationTable table;
     private int readsLeft;
 
     FailingStore(int readsLeft, boolean loseCommits) {
@@ -40,14 +40,14 @@
       this.table = tableOf(new Route(KEY, 20, 40, 4, 1, List.of()));
     }
 
-    private static Table tableOf(Route r) {
+    private static ConfigurationTable tableOf(Route r) {
       var rows = new TreeMap<RouteKey, Route>();
       rows.put(KEY, r);
-      return new Table(r.version(), rows, new TreeMap<>());
+      return new ConfigurationTable(r.version(), rows, new TreeMap<>());
     }
 
     @Override
-    public CompletableFuture<Table> changesAfter(long revision) {
+    public CompletableFuture<ConfigurationTable> changesAfter(long revision) {
       return readsLeft-- > 0
           ? CompletableFuture.completedFuture(table.changesAfter(revision))
           : CompletableFuture.failedFuture(new HttpFailure(false, "down"));
--- a/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
+++ b/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.DataCentreRow;
 import dev.cactusstack.model.Route;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -45,7 +45,7 @@
    * @param page the page
    * @return the position to continue from, or the start when the page has no rows
    */
-  public static ChangeCursor lastOf(Table page) {
+  public static ChangeCursor lastOf(ConfigurationTable page) {
     return rows(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
   }
 
@@ -56,18 +56,18 @@
    * @param count most rows to take
    * @return the page
    */
-  public LinkBody.ChangesPage page(Table table, int count) {
+  public LinkBody.ChangesPage page(ConfigurationTable table, int count) {
     List<ChangeCursor> rest = rows(table).stream().filter(c -> c.compareTo(this) > 0).toList();
     List<ChangeCursor> taken = rest.subList(0, Math.min(count, rest.size()));
     var routes = new TreeMap<>(table.routes());
     routes.values().removeIf(r -> !taken.contains(of(r)));
     var dataCentres = new TreeMap<>(table.dataCentres());
     dataCentres.values().removeIf(d -> !taken.contains(of(d)));
-    var page = new Table(table.version(), routes, dataCentres);
+    var page = new ConfigurationTable(table.version(), routes, dataCentres);
     return new LinkBody.ChangesPage(page, taken.size() < rest.size());
   }
 
-  private static List<ChangeCursor> rows(Table table) {
+  private static List<ChangeCursor> rows(ConfigurationTable table) {
     List<ChangeCursor> all = new ArrayList<>();
     table.routes().values().forEach(r -> all.add(of(r)));
     table.dataCentres().values().forEach(d -> all.add(of(d)));
--- a/link/src/main/java/dev/cactusstack/link/LinkBody.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkBody.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.link;
 
 import dev.cactusstack.decisions.membership.ProbeMessage;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.Objects;
 
 /** What one datagram asks or tells. Immutable and thread-safe. */
@@ -37,7 +37,7 @@
    * @param rows the rows with the sender's table version
    * @param more whether rows remain
    */
-  record ChangesPage(Table rows, boolean more) implements LinkBody {
+  record ChangesPage(ConfigurationTable rows, boolean more) implements LinkBody {
     /** Checks the rows. */
     public ChangesPage {
       Objects.requireNonNull(rows, "rows is null");
--- a/link/src/main/java/dev/cactusstack/link/TableCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/TableCodec.java
@@ -7,7 +7,7 @@
 import dev.cactusstack.model.RouteColumn;
 import dev.cactusstack.model.RouteKey;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.Optional;
 import java.util.TreeMap;
 
@@ -42,7 +42,7 @@
                 b.addDataCentres(
                     DataCentreRow.newBuilder()
                         .setDataCentre(d.dataCentre().value())
-                        .setOut(d.out())
+                        .setOut(d.evacuated())
                         .setVersion(d.version())
                         .addAllOperations(d.operations())));
     return b.build();
@@ -55,7 +55,7 @@
     p.getDataCentresList()
         .forEach(d -> dataCentre(d).ifPresent(x -> dataCentres.put(x.dataCentre(), x)));
     return new LinkBody.ChangesPage(
-        new Table(p.getTableVersion(), routes, dataCentres), p.getMore());
+        new ConfigurationTable(p.getTableVersion(), routes, dataCentres), p.getMore());
   }
 
   private static Optional<Route> route(RouteRow r) {
--- a/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
+++ b/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
@@ -14,7 +14,7 @@
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
@@ -34,7 +34,7 @@
     return new Member(new HostId("a-1"), 99, MemberStatus.SUSPECT, info);
   }
 
-  private static Table table() {
+  private static ConfigurationTable table() {
     var routes = new TreeMap<RouteKey, Route>();
     for (int i = 0; i < 25; i++) {
       RouteKey k = RouteKey.of("service-" + i, "almaty-1");
@@ -42,7 +42,7 @@
     }
     var dataCentres = new TreeMap<DataCentre, DataCentreRow>();
     dataCentres.put(HERE, new DataCentreRow(HERE, true, 5, List.of("x")));
-    return new Table(5, routes, dataCentres);
+    return new ConfigurationTable(5, routes, dataCentres);
   }
 
   static List<LinkBody> bodies() {
@@ -118,8 +118,8 @@
 
   @Test
   void shouldReadTheWholeTableWhenPagesAreFollowed() {
-    Table source = table();
-    Table read = Table.EMPTY;
+    ConfigurationTable source = table();
+    ConfigurationTable read = ConfigurationTable.EMPTY;
     var at = new ChangeCursor(0, "");
     boolean more = true;
     while (more) {
@@ -134,7 +134,7 @@
   @Test
   void shouldFitADatagramWhenRowsRememberAllTheirOperations() {
     var operations =
-        java.util.stream.IntStream.range(0, Route.OPERATIONS_KEPT)
+        java.util.stream.IntStream.range(0, Route.MAX_RECORDED_OPERATIONS)
             .mapToObj(i -> "00000000-0000-0000-0000-00000000000" + i)
             .toList();
     var routes = new TreeMap<RouteKey, Route>();
@@ -142,7 +142,7 @@
       RouteKey k = RouteKey.of("a-service-with-a-long-name-" + i, "a-data-centre-" + i);
       routes.put(k, new Route(k, 1_000, 1_000_000, 10_000, Long.MAX_VALUE, operations));
     }
-    var body = new LinkBody.ChangesPage(new Table(Long.MAX_VALUE, routes, new TreeMap<>()), true);
+    var body = new LinkBody.ChangesPage(new ConfigurationTable(Long.MAX_VALUE, routes, new TreeMap<>()), true);
     var codec = new LinkCodec(new KeyRing(List.of(OLD)));
     byte[] bytes = codec.encode(new LinkMessage(member(), List.of(), body));
     assertThat(bytes.length).isLessThan(LinkTransport.MAX_DATAGRAM_BYTES);
--- a/model/src/main/java/dev/cactusstack/model/Table.java
+++ b/model/src/main/java/dev/cactusstack/model/ConfigurationTable.java
@@ -17,16 +17,16 @@
  * @param routes a row for each service and data centre
  * @param dataCentres a row for each data centre
  */
-public record Table(
+public record ConfigurationTable(
     long version,
     SortedMap<RouteKey, Route> routes,
     SortedMap<DataCentre, DataCentreRow> dataCentres) {
 
   /** The configuration before anything has been read. */
-  public static final Table EMPTY = new Table(0, new TreeMap<>(), new TreeMap<>());
+  public static final ConfigurationTable EMPTY = new ConfigurationTable(0, new TreeMap<>(), new TreeMap<>());
 
   /** Copies the maps. */
-  public Table {
+  public ConfigurationTable {
     routes = Collections.unmodifiableSortedMap(new TreeMap<>(routes));
     dataCentres = Collections.unmodifiableSortedMap(new TreeMap<>(dataCentres));
   }
@@ -58,9 +58,9 @@
    * @param dataCentre the data centre
    * @return true when it is out
    */
-  public boolean isOut(DataCentre dataCentre) {
+  public boolean isEvacuated(DataCentre dataCentre) {
     DataCentreRow row = dataCentres.get(dataCentre);
-    return row != null && row.out();
+    return row != null && row.evacuated();
   }
 
   /**
@@ -70,14 +70,14 @@
    * @param change rows with the revision they were read at
    * @return the merged table
    */
-  public Table merge(Table change) {
+  public ConfigurationTable merge(ConfigurationTable change) {
     Objects.requireNonNull(change, "change is null");
     Map<RouteKey, Route> r = new TreeMap<>(routes);
     change.routes.forEach((k, v) -> r.merge(k, v, (a, b) -> a.version() >= b.version() ? a : b));
     Map<DataCentre, DataCentreRow> d = new TreeMap<>(dataCentres);
     change.dataCentres.forEach(
         (k, v) -> d.merge(k, v, (a, b) -> a.version() >= b.version() ? a : b));
-    return new Table(Math.max(version, change.version), new TreeMap<>(r), new TreeMap<>(d));
+    return new ConfigurationTable(Math.max(version, change.version), new TreeMap<>(r), new TreeMap<>(d));
   }
 
   /**
@@ -86,13 +86,13 @@
    * @param after the revision the reader already has
    * @return a change that {@link #merge} accepts
    */
-  public Table changesAfter(long after) {
+  public ConfigurationTable changesAfter(long after) {
     var r = new TreeMap<RouteKey, Route>();
     routes.values().stream().filter(x -> x.version() > after).forEach(x -> r.put(x.key(), x));
     var d = new TreeMap<DataCentre, DataCentreRow>();
     dataCentres.values().stream()
         .filter(x -> x.version() > after)
         .forEach(x -> d.put(x.dataCentre(), x));
-    return new Table(version, r, d);
+    return new ConfigurationTable(version, r, d);
   }
 }
--- a/model/src/main/java/dev/cactusstack/model/DataCentreRow.java
+++ b/model/src/main/java/dev/cactusstack/model/DataCentreRow.java
@@ -9,12 +9,12 @@
  * <p>Immutable and thread-safe.
  *
  * @param dataCentre the data centre
- * @param out whether operators have taken it out
+ * @param evacuated whether operators have taken it out
  * @param version the table revision that last changed the row
  * @param operations the ids of the last accepted operations, newest first
  */
 public record DataCentreRow(
-    DataCentre dataCentre, boolean out, long version, List<String> operations) {
+    DataCentre dataCentre, boolean evacuated, long version, List<String> operations) {
 
   /** Checks the components. */
   public DataCentreRow {
--- a/model/src/main/java/dev/cactusstack/model/EditOutcome.java
+++ b/model/src/main/java/dev/cactusstack/model/EditOutcome.java
@@ -20,12 +20,12 @@
   /**
    * Another edit was committed first; nothing changed.
    *
-   * @param sides both edits of each row in conflict
+   * @param rowConflicts both edits of each row in conflict
    */
-  record Conflict(List<ConflictSides> sides) implements EditOutcome {
+  record Conflict(List<RowConflict> rowConflicts) implements EditOutcome {
     /** Copies the list. */
     public Conflict {
-      sides = List.copyOf(sides);
+      rowConflicts = List.copyOf(rowConflicts);
     }
   }
 
@@ -61,5 +61,5 @@
    * @param mine the row as this edit would make it
    * @param theirs the row as it is now
    */
-  record ConflictSides(Route mine, Route theirs) {}
+  record RowConflict(Route mine, Route theirs) {}
 }
--- a/model/src/main/java/dev/cactusstack/model/Route.java
+++ b/model/src/main/java/dev/cactusstack/model/Route.java
@@ -21,7 +21,7 @@
     RouteKey key, int weight, int limit, int upstreamLimit, long version, List<String> operations) {
 
   /** Number of operation ids a row remembers. */
-  public static final int OPERATIONS_KEPT = 8;
+  public static final int MAX_RECORDED_OPERATIONS = 8;
 
   /** Checks the components. */
   public Route {
@@ -77,7 +77,7 @@
   public Route withOperation(String operation) {
     var ids = new ArrayList<String>();
     ids.add(operation);
-    ids.addAll(operations.subList(0, Math.min(operations.size(), OPERATIONS_KEPT - 1)));
+    ids.addAll(operations.subList(0, Math.min(operations.size(), MAX_RECORDED_OPERATIONS - 1)));
     return new Route(key, weight, limit, upstreamLimit, version, ids);
   }
 }
--- a/model/src/main/java/dev/cactusstack/model/site/HostEntry.java
+++ b/model/src/main/java/dev/cactusstack/model/site/HostRegistration.java
@@ -8,23 +8,23 @@
  *
  * @param name the host's name
  * @param dataCentre the name of its data centre
- * @param callers where it accepts callers
- * @param link where it accepts datagrams of other hosts
+ * @param callerAddress where it accepts callers
+ * @param linkAddress where it accepts datagrams of other hosts
  * @param milliCores the processor that it has, in thousandths of a core
  * @param incarnation the store's revision of the entry; a higher one is a later start
  */
-public record HostEntry(
+public record HostRegistration(
     String name,
     String dataCentre,
-    Address callers,
-    Address link,
+    Address callerAddress,
+    Address linkAddress,
     int milliCores,
     long incarnation) {
   /** Checks the components. */
-  public HostEntry {
+  public HostRegistration {
     Objects.requireNonNull(name, "name is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
-    Objects.requireNonNull(callers, "callers is null");
-    Objects.requireNonNull(link, "link is null");
+    Objects.requireNonNull(callerAddress, "callers is null");
+    Objects.requireNonNull(linkAddress, "link is null");
   }
 }
--- a/model/src/main/java/dev/cactusstack/model/site/RequestKind.java
+++ b/model/src/main/java/dev/cactusstack/model/site/RequestKind.java
@@ -9,10 +9,10 @@
   /** May run once and has a large body. */
   UPLOAD(false);
 
-  private final boolean repeatable;
+  private final boolean idempotent;
 
   RequestKind(boolean repeatable) {
-    this.repeatable = repeatable;
+    this.idempotent = repeatable;
   }
 
   /**
@@ -20,7 +20,7 @@
    *
    * @return true when running twice does no harm
    */
-  public boolean repeatable() {
-    return repeatable;
+  public boolean idempotent() {
+    return idempotent;
   }
 }
--- a/model/src/main/java/dev/cactusstack/model/site/RouteRule.java
+++ b/model/src/main/java/dev/cactusstack/model/site/RouteRule.java
@@ -13,10 +13,10 @@
  * @param prefix the path prefix
  * @param kind what may be repeated
  * @param timeoutMs longest time that a request is kept waiting, in milliseconds
- * @param objectiveMs latency objective, in milliseconds
+ * @param latencyObjectiveMs latency objective, in milliseconds
  * @param priority rank among routes, 0 first
  * @param maxAttempts most upstreams that one request may run on
- * @param parts the services that share the route's requests
+ * @param weightedServices the services that share the route's requests
  */
 public record RouteRule(
     String name,
@@ -24,10 +24,10 @@
     String prefix,
     RequestKind kind,
     long timeoutMs,
-    long objectiveMs,
+    long latencyObjectiveMs,
     int priority,
     int maxAttempts,
-    List<Part> parts) {
+    List<WeightedService> weightedServices) {
 
   /** Checks and copies the components. */
   public RouteRule {
@@ -35,8 +35,8 @@
     Objects.requireNonNull(host, "host is null");
     Objects.requireNonNull(prefix, "prefix is null");
     Objects.requireNonNull(kind, "kind is null");
-    parts = List.copyOf(parts);
-    if (parts.isEmpty()) {
+    weightedServices = List.copyOf(weightedServices);
+    if (weightedServices.isEmpty()) {
       throw new IllegalArgumentException("a route needs a service: " + name);
     }
   }
@@ -47,9 +47,9 @@
    * @param service the service's name
    * @param weight its share relative to the other parts
    */
-  public record Part(String service, double weight) {
+  public record WeightedService(String service, double weight) {
     /** Checks the components. */
-    public Part {
+    public WeightedService {
       Objects.requireNonNull(service, "service is null");
     }
   }
--- a/model/src/main/java/dev/cactusstack/model/site/ServiceRule.java
+++ b/model/src/main/java/dev/cactusstack/model/site/ServiceSettings.java
@@ -8,13 +8,13 @@
  * @param name the service's name
  * @param healthPath where an upstream answers with its load
  * @param maxConnections connections that one upstream accepts from all callers together
- * @param coldMs how long an upstream stays cold after its start, in milliseconds
- * @param coldPerSecond requests a second that a cold upstream bears
+ * @param warmupMs how long an upstream stays cold after its start, in milliseconds
+ * @param warmupRequestsPerSecond requests a second that a cold upstream bears
  */
-public record ServiceRule(
-    String name, String healthPath, int maxConnections, long coldMs, double coldPerSecond) {
+public record ServiceSettings(
+    String name, String healthPath, int maxConnections, long warmupMs, double warmupRequestsPerSecond) {
   /** Checks the components. */
-  public ServiceRule {
+  public ServiceSettings {
     Objects.requireNonNull(name, "name is null");
     Objects.requireNonNull(healthPath, "healthPath is null");
   }
--- a/model/src/main/java/dev/cactusstack/model/site/SiteConfiguration.java
+++ b/model/src/main/java/dev/cactusstack/model/site/SiteConfiguration.java
@@ -19,7 +19,7 @@
     long revision,
     long version,
     List<RouteRule> routes,
-    Map<String, ServiceRule> services,
+    Map<String, ServiceSettings> services,
     CallerLimits limits,
     Set<String> evacuated) {
   /** Checks and copies the components. */
--- a/model/src/main/java/dev/cactusstack/model/site/UpstreamEntry.java
+++ b/model/src/main/java/dev/cactusstack/model/site/UpstreamRegistration.java
@@ -12,20 +12,20 @@
  * @param dataCentre the name of its data centre
  * @param slots requests that it runs at the same time
  * @param leaving whether it has begun to leave
- * @param coldForMs how much longer it is cold, in milliseconds, when it last announced itself
- * @param bornMs when this incarnation started, in milliseconds since the epoch, 0 if not told
+ * @param warmupRemainingMs how much longer it is cold, in milliseconds, when it last announced itself
+ * @param startedAtMs when this incarnation started, in milliseconds since the epoch, 0 if not told
  */
-public record UpstreamEntry(
+public record UpstreamRegistration(
     String id,
     String service,
     Address address,
     String dataCentre,
     int slots,
     boolean leaving,
-    long coldForMs,
-    long bornMs) {
+    long warmupRemainingMs,
+    long startedAtMs) {
   /** Checks the components. */
-  public UpstreamEntry {
+  public UpstreamRegistration {
     Objects.requireNonNull(id, "id is null");
     Objects.requireNonNull(service, "service is null");
     Objects.requireNonNull(address, "address is null");
@@ -37,7 +37,7 @@
    *
    * @return a name that no upstream at another address, and no other at this one, has
    */
-  public String pool() {
+  public String connectionPoolKey() {
     return id + '@' + address;
   }
 
@@ -47,7 +47,7 @@
    * @param o the older entry
    * @return true unless the upstream has started again since
    */
-  public boolean sameIncarnation(UpstreamEntry o) {
-    return id.equals(o.id) && bornMs == o.bornMs;
+  public boolean isSameIncarnation(UpstreamRegistration o) {
+    return id.equals(o.id) && startedAtMs == o.startedAtMs;
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HttpPlatform.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HttpPlatform.java
@@ -9,7 +9,7 @@
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.DataCentreRow;
 import dev.cactusstack.model.Route;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.net.URI;
 import java.time.Duration;
 import java.util.List;
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public CompletableFuture<Table> changesAfter(long revision) {
+  public CompletableFuture<ConfigurationTable> changesAfter(long revision) {
     return read("/v1/rows?after=" + revision).thenApply(RowCodec::table);
   }
 
--- a/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
+++ b/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
@@ -11,7 +11,7 @@
 import dev.cactusstack.model.RouteColumn;
 import dev.cactusstack.model.RouteKey;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -29,7 +29,7 @@
 
   private RowCodec() {}
 
-  static Table table(JsonNode page) {
+  static ConfigurationTable table(JsonNode page) {
     var routes = new TreeMap<RouteKey, Route>();
     var dataCentres = new TreeMap<DataCentre, DataCentreRow>();
     for (JsonNode row : page.path("rows")) {
@@ -37,7 +37,7 @@
       route(key, row).ifPresent(r -> routes.put(r.key(), r));
       dataCentre(key, row).ifPresent(d -> dataCentres.put(d.dataCentre(), d));
     }
-    return new Table(page.path("revision").asLong(), routes, dataCentres);
+    return new ConfigurationTable(page.path("revision").asLong(), routes, dataCentres);
   }
 
   private static Optional<Route> route(String key, JsonNode row) {
@@ -102,7 +102,7 @@
     dataCentres.forEach(
         d ->
             write(t, DATA_CENTRE_PREFIX + d.dataCentre(), d.version(), d.operations())
-                .put("out", d.out()));
+                .put("out", d.evacuated()));
     return Json.bytes(t);
   }
 
--- a/storage/src/main/java/dev/cactusstack/storage/TableStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/TableStore.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.DataCentreRow;
 import dev.cactusstack.model.Route;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
@@ -16,7 +16,7 @@
    * @return the changed rows with the revision they were read at, or an {@link
    *     dev.cactusstack.http.HttpFailure}
    */
-  CompletableFuture<Table> changesAfter(long revision);
+  CompletableFuture<ConfigurationTable> changesAfter(long revision);
 
   /**
    * Writes rows when each still has the version it carries (0: when it does not exist).
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -11,7 +11,7 @@
 import dev.cactusstack.model.ListedHost;
 import dev.cactusstack.model.Route;
 import dev.cactusstack.model.RouteKey;
-import dev.cactusstack.model.Table;
+import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.standin.PlatformFaults;
 import dev.cactusstack.standin.PlatformStandIn;
 import io.cucumber.java.After;
@@ -112,14 +112,14 @@
       Thread.sleep(2 * SLOW_MS);
     }
     standIn.cause(PlatformFaults.NONE);
-    Table t = client(standIn.port(), Duration.ofSeconds(10)).changesAfter(0).join();
+    ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).changesAfter(0).join();
     assertThat(t.route(KEY).orElseThrow().weight()).isEqualTo(weight);
   }
 
   /** Reads changes. */
   @Then("^a reader at version (\\d+) gets (\\d+) rows? at version (\\d+)$")
   public void changes(long after, int rows, long version) {
-    Table t = client.changesAfter(after).join();
+    ConfigurationTable t = client.changesAfter(after).join();
     assertThat(t.routes()).hasSize(rows);
     assertThat(t.version()).isEqualTo(version);
   }
