--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -3,16 +3,16 @@
 import dev.cactusstack.decisions.directory.DirectoryPolicy;
 import dev.cactusstack.decisions.gossip.PeerTable;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.gateway.callers.CallersPort;
-import dev.cactusstack.gateway.callers.Filter;
-import dev.cactusstack.gateway.callers.MetricsFilter;
-import dev.cactusstack.gateway.callers.RequestTools;
-import dev.cactusstack.gateway.callers.ServeFilter;
+import dev.cactusstack.gateway.callers.CallerListener;
+import dev.cactusstack.gateway.callers.ForwardingContext;
+import dev.cactusstack.gateway.callers.ForwardingHandler;
+import dev.cactusstack.gateway.callers.MetricsHandler;
+import dev.cactusstack.gateway.callers.RequestHandler;
 import dev.cactusstack.gateway.control.ConfigurationController;
 import dev.cactusstack.gateway.control.HostsController;
 import dev.cactusstack.gateway.control.UpstreamsController;
-import dev.cactusstack.gateway.net.ClientLimits;
 import dev.cactusstack.gateway.net.HttpClient;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.observe.Figures;
 import dev.cactusstack.gateway.scheduling.Link;
@@ -69,10 +69,10 @@
   private final Link link;
   private final Placement placement;
   private final HttpClient client;
-  private final CallersPort callers;
-  private final CallersPort readiness;
-  private final CallersPort directory;
-  private final CallersPort metrics;
+  private final CallerListener callers;
+  private final CallerListener readiness;
+  private final CallerListener directory;
+  private final CallerListener metrics;
   private boolean leaving;
 
   /**
@@ -140,7 +140,7 @@
     this.client =
         new HttpClient(
             loop,
-            new ClientLimits(CONNECT_TIMEOUT_MS, IDLE_CONNECTION_MS, false, MAX_ANSWER_BYTES),
+            new HttpClientSettings(CONNECT_TIMEOUT_MS, IDLE_CONNECTION_MS, false, MAX_ANSWER_BYTES),
             clock);
     var prober = new Prober(client, wire);
     var schedulers =
@@ -163,25 +163,25 @@
             settings.host(),
             random.nextLong(FIRST_ASKS));
     var budget =
-        new RequestTools.RepeatBudget(
+        new ForwardingContext.RetryBudget(
             b.repeatWindowMs(),
             b.repeatRatio() * REPEAT_RATIO_SHARE,
             () -> b.repeatAllowance() * REPEAT_ALLOWANCE_SHARE / peers.size());
     var tools =
-        new RequestTools(
+        new ForwardingContext(
             settings.dataCentre(), loop, clock, log, wire, client, placement, budget, figures);
     Endpoints e = endpoints.apply(this);
-    this.callers = port(List.of(new ServeFilter(configuration, tools)));
+    this.callers = port(List.of(new ForwardingHandler(configuration, tools)));
     this.readiness = port(List.of(e.readiness()));
     this.directory = port(List.of(e.directory()));
-    this.metrics = port(List.of(new MetricsFilter(figures)));
+    this.metrics = port(List.of(new MetricsHandler(figures)));
     count(figures, store, prober);
   }
 
   private void count(Figures f, SiteStore store, Prober prober) {
     f.total("cactusstack_store_calls", "Calls of the store", store::calls);
     f.total("cactusstack_store_failures", "Calls of the store without result", store::failedCalls);
-    f.total("cactusstack_upstream_connections", "Connections opened", client::opened);
+    f.total("cactusstack_upstream_connections", "Connections opened", client::openedConnections);
     f.total("cactusstack_upstream_probes", "Probes of upstreams", prober::sent);
     f.total("cactusstack_link_messages", "Messages sent to other hosts", link::sent);
     f.total("cactusstack_log_lines_dropped", "Log lines that were dropped", log::dropped);
@@ -193,10 +193,10 @@
    * @param readiness tells whether the host is ready
    * @param directory tells callers which addresses to use
    */
-  public record Endpoints(Filter readiness, Filter directory) {}
+  public record Endpoints(RequestHandler readiness, RequestHandler directory) {}
 
-  private CallersPort port(List<Filter> chain) {
-    return new CallersPort(loop, chain, configuration::limits, clock);
+  private CallerListener port(List<RequestHandler> chain) {
+    return new CallerListener(loop, chain, configuration::limits, clock);
   }
 
   /**
@@ -257,11 +257,11 @@
   }
 
   private void sweep() {
-    client.closeIdle();
-    callers.sweep();
-    readiness.sweep();
-    directory.sweep();
-    metrics.sweep();
+    client.closeIdleConnections();
+    callers.closeTimedOutConnections();
+    readiness.closeTimedOutConnections();
+    directory.closeTimedOutConnections();
+    metrics.closeTimedOutConnections();
   }
 
   /**
@@ -300,7 +300,7 @@
     leaving = true;
     log.event("leaving").with("in_flight", callers.inFlight()).write();
     hosts.leave();
-    callers.lastAnswers();
+    callers.startDraining();
     loop.schedule(callers::stopListening, ACCEPT_WHILE_LEAVING_MS, TimeUnit.MILLISECONDS);
     long startMs = clock.getAsLong();
     leaveWhenQuiet(left, startMs);
@@ -311,7 +311,7 @@
     long passed = clock.getAsLong() - startMs;
     boolean accepting = passed < ACCEPT_WHILE_LEAVING_MS;
     if (!accepting) {
-      callers.closeQuiet();
+      callers.closeUnusedConnections();
     }
     boolean quiet = !accepting && callers.inFlight() == 0;
     if (quiet || passed > settings.bounds().graceMs() - EXIT_MARGIN_MS) {
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
@@ -38,7 +38,7 @@
   private static final int MAX_PIPELINED = 32;
   private static final long LINGER_MS = 1_000;
 
-  private final CallersPort port;
+  private final CallerListener port;
   private final Channel channel;
   private final CallerLimits limits;
   private final Deque<Turn> turns = new ArrayDeque<>();
@@ -50,7 +50,7 @@
   private long lastMs;
   private long headMs;
 
-  CallerConnection(CallersPort port, Channel channel, CallerLimits limits) {
+  CallerConnection(CallerListener port, Channel channel, CallerLimits limits) {
     this.port = port;
     this.channel = channel;
     this.limits = limits;
@@ -146,7 +146,7 @@
     var turn = new Turn(true);
     turns.add(turn);
     ending = true;
-    turn.answer = CallerAnswer.problem(why);
+    turn.answer = CallerResponse.problem(why);
     flush();
   }
 
@@ -169,18 +169,18 @@
     turn.running = dispatch(request, turn);
   }
 
-  private Filter.Running dispatch(CallerRequest request, Turn turn) {
-    for (Filter f : port.chain()) {
-      Optional<Filter.Running> taken = f.take(request, a -> answered(turn, a));
+  private RequestHandler.Cancellable dispatch(CallerRequest request, Turn turn) {
+    for (RequestHandler f : port.chain()) {
+      Optional<RequestHandler.Cancellable> taken = f.tryHandle(request, a -> answered(turn, a));
       if (taken.isPresent()) {
         return taken.get();
       }
     }
-    answered(turn, CallerAnswer.problem(Refusal.NO_ROUTE));
-    return Filter.Running.NOTHING;
+    answered(turn, CallerResponse.problem(Refusal.NO_ROUTE));
+    return RequestHandler.Cancellable.COMPLETED;
   }
 
-  private void answered(Turn turn, CallerAnswer answer) {
+  private void answered(Turn turn, CallerResponse answer) {
     turn.answer = answer;
     flush();
   }
@@ -189,7 +189,7 @@
     boolean wrote = false;
     while (!turns.isEmpty() && channel.isActive()) {
       Turn first = turns.peekFirst();
-      CallerAnswer a = first.answer;
+      CallerResponse a = first.answer;
       if (a == null) {
         break;
       }
@@ -206,7 +206,7 @@
   }
 
   /** Writes an answer; returns true when it was the connection's last. */
-  private boolean write(CallerAnswer a, boolean last) {
+  private boolean write(CallerResponse a, boolean last) {
     lastMs = port.now();
     var m =
         new DefaultFullHttpResponse(
@@ -263,8 +263,8 @@
   /** A request in its place among the connection's requests. */
   private static final class Turn {
     private final boolean last;
-    private @Nullable CallerAnswer answer;
-    private Filter.Running running = Filter.Running.NOTHING;
+    private @Nullable CallerResponse answer;
+    private RequestHandler.Cancellable running = RequestHandler.Cancellable.COMPLETED;
 
     Turn(boolean last) {
       this.last = last;
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.gateway.callers;
 
 import dev.cactusstack.decisions.placing.AttemptOutcome;
-import dev.cactusstack.gateway.net.Reply;
+import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.site.UpstreamWire;
 import java.util.Set;
 
@@ -18,14 +18,14 @@
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
   /** How the attempt ended that brought the reply. */
-  AttemptOutcome end(Reply reply) {
-    if (reply instanceof Reply.NotSent) {
+  AttemptOutcome end(ExchangeResult reply) {
+    if (reply instanceof ExchangeResult.NotSent) {
       return AttemptOutcome.UNREACHABLE;
     }
-    if (reply instanceof Reply.Broken) {
+    if (reply instanceof ExchangeResult.Incomplete) {
       return AttemptOutcome.BROKEN;
     }
-    if (!(reply instanceof Reply.Answer r)) {
+    if (!(reply instanceof ExchangeResult.Response r)) {
       return AttemptOutcome.TIMED_OUT;
     }
     if (wire.notRun(r.status(), r.headers())) {
@@ -39,18 +39,18 @@
   }
 
   /** Tells whether an upstream's own failure can be passed on without promising too much. */
-  boolean passable(Reply.Answer r) {
+  boolean passable(ExchangeResult.Response r) {
     return wire.signed(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
   }
 
   /** Says for a log line why a reply is no good answer. */
-  static String cause(Reply reply) {
-    if (reply instanceof Reply.Answer r) {
+  static String cause(ExchangeResult reply) {
+    if (reply instanceof ExchangeResult.Response r) {
       return "status " + r.status();
     }
-    if (reply instanceof Reply.NotSent n) {
+    if (reply instanceof ExchangeResult.NotSent n) {
       return n.cause();
     }
-    return reply instanceof Reply.Broken b ? b.cause() : "late";
+    return reply instanceof ExchangeResult.Incomplete b ? b.cause() : "late";
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
@@ -8,8 +8,8 @@
 import dev.cactusstack.decisions.placing.ReportedLoad;
 import dev.cactusstack.decisions.retries.HedgeDelay;
 import dev.cactusstack.gateway.net.Exchange;
-import dev.cactusstack.gateway.net.Outgoing;
-import dev.cactusstack.gateway.net.Reply;
+import dev.cactusstack.gateway.net.ExchangeResult;
+import dev.cactusstack.gateway.net.OutgoingRequest;
 import dev.cactusstack.gateway.observe.EventLine;
 import dev.cactusstack.gateway.observe.RouteFigures;
 import dev.cactusstack.model.site.RouteRule;
@@ -32,18 +32,18 @@
  * after proof that it did not run. It is answered as not run only when every attempt is proved not
  * to have run. Confined to the event loop.
  */
-final class RequestRun implements Filter.Running {
+final class RequestRun implements RequestHandler.Cancellable {
   private static final int SENDS_BEYOND_ATTEMPTS = 2;
   private static final long LEAST_TIME_MS = 5;
   private static final long EXCHANGE_SLACK_MS = 1_000;
   private static final long REFUSED_RETRY_MS = 40;
   private static final long AT_ONCE_MS = 40;
 
-  private final RequestTools tools;
+  private final ForwardingContext tools;
   private final CallerRequest request;
   private final String id;
   private final RouteRule route;
-  private final Consumer<CallerAnswer> answer;
+  private final Consumer<CallerResponse> answer;
   private final String service;
   private final long endMs;
   private final long onTimeAtMs;
@@ -52,7 +52,7 @@
   private @Nullable PlacementKey asking;
   private @Nullable Future<?> endTimer;
   private @Nullable Future<?> hedgeTimer;
-  private @Nullable Reply lastFailure;
+  private @Nullable ExchangeResult lastFailure;
   private int sends;
   private int arrivals;
   private int runs;
@@ -60,11 +60,11 @@
   private boolean done;
 
   RequestRun(
-      RequestTools tools,
+      ForwardingContext tools,
       CallerRequest request,
       String id,
       RouteRule route,
-      Consumer<CallerAnswer> answer) {
+      Consumer<CallerResponse> answer) {
     this.tools = tools;
     this.request = request;
     this.id = id;
@@ -72,9 +72,9 @@
     this.answer = answer;
     this.service = tools.parts().next(route);
     long callerMs = tools.wire().deadlineMs(request.headers()).orElse(route.timeoutMs());
-    this.endMs = request.arrivedMs() + Math.min(callerMs, route.timeoutMs());
+    this.endMs = request.arrivedAtMs() + Math.min(callerMs, route.timeoutMs());
     long spentMs = tools.patience().elapsedMs(route.name(), callerMs);
-    this.onTimeAtMs = request.arrivedMs() + route.latencyObjectiveMs() - spentMs;
+    this.onTimeAtMs = request.arrivedAtMs() + route.latencyObjectiveMs() - spentMs;
   }
 
   void start() {
@@ -165,17 +165,17 @@
     tools.wire().address(headers, left(), u.id());
     var attempt = new Attempt(p.key(), u, now());
     running.add(attempt);
-    figures().sent(now() - request.arrivedMs());
+    figures().sent(now() - request.arrivedAtMs());
     event("sent")
         .with("upstream", u.id())
         .with("address", u.address().toString())
         .with("attempt", sends)
         .with("ask", p.key().sequenceNumber())
-        .with("waited_ms", now() - request.arrivedMs())
+        .with("waited_ms", now() - request.arrivedAtMs())
         .with("left_ms", left())
         .write();
     var outgoing =
-        new Outgoing(
+        new OutgoingRequest(
             u.connectionPoolKey(),
             u.address(),
             request.method(),
@@ -208,15 +208,19 @@
     }
   }
 
-  private void ended(Attempt a, Reply reply) {
+  private void ended(Attempt a, ExchangeResult reply) {
     running.remove(a);
     Optional<ReportedLoad> load =
-        reply instanceof Reply.Answer r ? tools.wire().load(r.headers()) : Optional.empty();
+        reply instanceof ExchangeResult.Response r
+            ? tools.wire().load(r.headers())
+            : Optional.empty();
     AttemptOutcome end = tools.judge().end(reply);
     report(a.key, a.upstream, end, now() - a.sinceMs, load);
     figures().attemptEnded(end.label());
-    if (reply instanceof Reply.Broken && now() - a.sinceMs <= AT_ONCE_MS && a.exchange != null) {
-      tools.rest(service).recordReset(a.exchange.restedMs(), now());
+    if (reply instanceof ExchangeResult.Incomplete
+        && now() - a.sinceMs <= AT_ONCE_MS
+        && a.exchange != null) {
+      tools.rest(service).recordReset(a.exchange.connectionIdleMs(), now());
     }
     if (end != AttemptOutcome.UNREACHABLE) {
       arrivals++;
@@ -228,7 +232,7 @@
     if (done) {
       return;
     }
-    if (end == AttemptOutcome.ANSWERED && reply instanceof Reply.Answer r) {
+    if (end == AttemptOutcome.ANSWERED && reply instanceof ExchangeResult.Response r) {
       learn(now() - a.sinceMs, load);
       deliver(r, a.upstream);
       return;
@@ -243,7 +247,7 @@
   }
 
   /** Decides what follows an attempt that brought no good answer. */
-  private void next(AttemptOutcome end, Reply reply) {
+  private void next(AttemptOutcome end, ExchangeResult reply) {
     if (!running.isEmpty() || asking != null) {
       return;
     }
@@ -263,24 +267,25 @@
     tools.workTimes().recordResponse(route.name(), route.latencyObjectiveMs(), tookMs, pace);
   }
 
-  private void deliver(Reply.Answer r, UpstreamRegistration by) {
+  private void deliver(ExchangeResult.Response r, UpstreamRegistration by) {
     finish();
-    figures().answered(now() - request.arrivedMs());
+    figures().answered(now() - request.arrivedAtMs());
     event("answered")
         .with("status", r.status())
         .with("upstream", by.id())
         .with("load", tools.wire().load(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
-        .with("took_ms", now() - request.arrivedMs())
+        .with("took_ms", now() - request.arrivedAtMs())
         .write();
-    answer.accept(new CallerAnswer(r.status(), ForwardedFields.of(r.headers()), r.body()));
+    answer.accept(new CallerResponse(r.status(), ForwardedFields.of(r.headers()), r.body()));
   }
 
   private void timeOver() {
     if (done) {
       return;
     }
-    boolean sentAny = running.stream().anyMatch(a -> a.exchange != null && a.exchange.sent());
+    boolean sentAny =
+        running.stream().anyMatch(a -> a.exchange != null && a.exchange.mayHaveBeenSent());
     mayHaveRun |= sentAny;
     abandonAll(AttemptOutcome.TIMED_OUT);
     giveUp(Refusal.LATE, REFUSED_RETRY_MS);
@@ -289,10 +294,12 @@
   /** Answers a request that no upstream has served. */
   private void giveUp(Refusal why, long retryAfterMs) {
     finish();
-    if (lastFailure instanceof Reply.Answer r && mayHaveRun && tools.judge().passable(r)) {
+    if (lastFailure instanceof ExchangeResult.Response r
+        && mayHaveRun
+        && tools.judge().passable(r)) {
       event("answered").with("status", r.status()).with("attempts", sends).write();
-      figures().answered(now() - request.arrivedMs());
-      answer.accept(new CallerAnswer(r.status(), ForwardedFields.of(r.headers()), r.body()));
+      figures().answered(now() - request.arrivedAtMs());
+      answer.accept(new CallerResponse(r.status(), ForwardedFields.of(r.headers()), r.body()));
       return;
     }
     Refusal told = told(why);
@@ -300,10 +307,10 @@
     event("refused")
         .with("why", told.label())
         .with("attempts", sends)
-        .with("took_ms", now() - request.arrivedMs())
+        .with("took_ms", now() - request.arrivedAtMs())
         .with("retry_ms", retryAfterMs)
         .write();
-    CallerAnswer a = CallerAnswer.problem(told);
+    CallerResponse a = CallerResponse.problem(told);
     tools.wire().identify(a.headers(), id);
     answer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
   }
@@ -326,7 +333,7 @@
   private void abandonAll(AttemptOutcome end) {
     for (Attempt a : List.copyOf(running)) {
       if (a.exchange != null) {
-        a.exchange.abandon();
+        a.exchange.abort();
       }
       report(a.key, a.upstream, end, now() - a.sinceMs, Optional.empty());
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
@@ -11,21 +11,21 @@
  * <p>Invariant: the end is told once. Confined to the event loop.
  */
 public final class Exchange {
-  private final Outgoing request;
-  private final Consumer<Reply> end;
+  private final OutgoingRequest request;
+  private final Consumer<ExchangeResult> end;
   private @Nullable Channel channel;
   private @Nullable Future<?> watch;
-  private long restedMs;
-  private boolean sent;
+  private long connectionIdleMs;
+  private boolean mayHaveBeenSent;
   private boolean ended;
 
-  Exchange(Outgoing request, Consumer<Reply> end) {
+  Exchange(OutgoingRequest request, Consumer<ExchangeResult> end) {
     this.request = request;
     this.end = end;
   }
 
   /** Gives up: closes the connection, and tells no end. */
-  public void abandon() {
+  public void abort() {
     if (finish()) {
       closeChannel();
     }
@@ -36,8 +36,8 @@
    *
    * @return false while nothing was written
    */
-  public boolean sent() {
-    return sent;
+  public boolean mayHaveBeenSent() {
+    return mayHaveBeenSent;
   }
 
   /**
@@ -45,15 +45,15 @@
    *
    * @return milliseconds, 0 for a new connection
    */
-  public long restedMs() {
-    return restedMs;
+  public long connectionIdleMs() {
+    return connectionIdleMs;
   }
 
   void rested(long ms) {
-    restedMs = ms;
+    connectionIdleMs = ms;
   }
 
-  Outgoing request() {
+  OutgoingRequest request() {
     return request;
   }
 
@@ -66,7 +66,7 @@
   }
 
   void sending() {
-    sent = true;
+    mayHaveBeenSent = true;
   }
 
   boolean ended() {
@@ -76,11 +76,14 @@
   void late() {
     if (finish()) {
       closeChannel();
-      end.accept(sent ? new Reply.Late() : new Reply.NotSent("no connection in time"));
+      end.accept(
+          mayHaveBeenSent
+              ? new ExchangeResult.TimedOut()
+              : new ExchangeResult.NotSent("no connection in time"));
     }
   }
 
-  void end(Reply reply) {
+  void end(ExchangeResult reply) {
     if (finish()) {
       end.accept(reply);
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
@@ -33,7 +33,7 @@
 
   private final HttpClient client;
   private final String pool;
-  private final ClientLimits limits;
+  private final HttpClientSettings limits;
   private @Nullable Channel channel;
   private @Nullable Exchange exchange;
   private @Nullable HttpResponse head;
@@ -46,11 +46,11 @@
   private long idleSinceMs;
   private long keepMs;
 
-  ServerConnection(HttpClient client, String pool, ClientLimits limits) {
+  ServerConnection(HttpClient client, String pool, HttpClientSettings limits) {
     this.client = client;
     this.pool = pool;
     this.limits = limits;
-    this.keepMs = limits.idleMs();
+    this.keepMs = limits.idleTimeoutMs();
   }
 
   String pool() {
@@ -99,7 +99,7 @@
         });
   }
 
-  private static DefaultFullHttpRequest message(Outgoing r) {
+  private static DefaultFullHttpRequest message(OutgoingRequest r) {
     var m =
         new DefaultFullHttpRequest(
             VERSION, r.method(), r.target(), Unpooled.wrappedBuffer(r.body()));
@@ -144,7 +144,7 @@
       return;
     }
     Exchange e = exchange;
-    skipping = e == null || !e.request().mine().test(r.headers());
+    skipping = e == null || !e.request().responseMatcher().test(r.headers());
     head = r;
     bodyLength = 0;
   }
@@ -154,7 +154,7 @@
     if (skipping || n == 0) {
       return;
     }
-    if (bodyLength + n > limits.maxAnswerBytes()) {
+    if (bodyLength + n > limits.maxResponseBytes()) {
       broken("answer too large");
       return;
     }
@@ -180,7 +180,9 @@
     }
     reusable &= written && HttpUtil.isKeepAlive(r);
     readKeepAlive(r);
-    var answer = new Reply.Answer(r.status().code(), r.headers(), Arrays.copyOf(body, bodyLength));
+    var answer =
+        new ExchangeResult.Response(
+            r.status().code(), r.headers(), Arrays.copyOf(body, bodyLength));
     release();
     e.end(answer);
   }
@@ -222,7 +224,7 @@
     reusable = false;
     close();
     if (e != null) {
-      e.end(new Reply.Broken(cause));
+      e.end(new ExchangeResult.Incomplete(cause));
     }
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
@@ -1,9 +1,9 @@
 package dev.cactusstack.gateway.scheduling;
 
 import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.net.HttpClient;
-import dev.cactusstack.gateway.net.Outgoing;
-import dev.cactusstack.gateway.net.Reply;
+import dev.cactusstack.gateway.net.OutgoingRequest;
 import dev.cactusstack.gateway.site.UpstreamWire;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -45,7 +45,7 @@
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.HOST, u.address().toString());
     var request =
-        new Outgoing(
+        new OutgoingRequest(
             u.connectionPoolKey(),
             u.address(),
             HttpMethod.GET,
@@ -58,7 +58,7 @@
         request,
         TIMEOUT_MS,
         reply -> {
-          if (reply instanceof Reply.Answer a) {
+          if (reply instanceof ExchangeResult.Response a) {
             wire.load(a.headers()).ifPresent(figures);
           }
         });
--- a/gateway/src/test/java/dev/cactusstack/gateway/callers/CallerConnectionTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/callers/CallerConnectionTest.java
@@ -19,12 +19,12 @@
 class CallerConnectionTest {
   private static final CallerLimits LIMITS = new CallerLimits(500, 100, 3_000, 15_000);
 
-  private final Map<String, Consumer<CallerAnswer>> open = new HashMap<>();
+  private final Map<String, Consumer<CallerResponse>> open = new HashMap<>();
   private final List<CallerRequest> requests = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final CallersPort port =
-      new CallersPort(channel.eventLoop(), List.of(this::take), () -> LIMITS, () -> 0L);
+  private final CallerListener port =
+      new CallerListener(channel.eventLoop(), List.of(this::take), () -> LIMITS, () -> 0L);
 
   CallerConnectionTest() {
     channel
@@ -33,7 +33,8 @@
         .addLast(new CallerConnection(port, channel, LIMITS));
   }
 
-  private Optional<Filter.Running> take(CallerRequest r, Consumer<CallerAnswer> answer) {
+  private Optional<RequestHandler.Cancellable> take(
+      CallerRequest r, Consumer<CallerResponse> answer) {
     requests.add(r);
     open.put(r.target(), answer);
     return Optional.of(() -> cancelled.add(r.target()));
@@ -59,9 +60,9 @@
   void shouldRunPipelinedRequestsTogetherAndAnswerThemInOrder() {
     send(get("/1") + get("/2"));
     assertThat(requests).extracting(CallerRequest::target).containsExactly("/1", "/2");
-    open.get("/2").accept(CallerAnswer.json(200, "\"two\""));
+    open.get("/2").accept(CallerResponse.json(200, "\"two\""));
     assertThat(received()).isEmpty();
-    open.get("/1").accept(CallerAnswer.json(200, "\"one\""));
+    open.get("/1").accept(CallerResponse.json(200, "\"one\""));
     String text = received();
     assertThat(text.indexOf("one")).isPositive().isLessThan(text.indexOf("two"));
   }
@@ -113,8 +114,8 @@
   @Test
   void shouldCloseAfterTheAnswerAndDropWhatWasSentBehindWhenThePortIsClosing() {
     send(get("/1") + get("/2"));
-    port.lastAnswers();
-    open.get("/1").accept(CallerAnswer.json(200, "1"));
+    port.startDraining();
+    open.get("/1").accept(CallerResponse.json(200, "1"));
     assertThat(received()).contains("connection: close");
     assertThat(cancelled).containsExactly("/2");
   }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
@@ -6,8 +6,8 @@
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.gateway.net.ClientLimits;
 import dev.cactusstack.gateway.net.HttpClient;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
@@ -44,7 +44,8 @@
           new SchedulerSettings(12, 1, 12, 0.45, 1.5, 5),
           upstreams,
           new Prober(
-              new HttpClient(time.loop(), new ClientLimits(100, 100, false, 1_000), time::nowMs),
+              new HttpClient(
+                  time.loop(), new HttpClientSettings(100, 100, false, 1_000), time::nowMs),
               noWire()),
           () -> peers.anotherHostReachesStore(time.nowMs()));
   private final Placement placement =
--- a/gateway/src/test/java/dev/cactusstack/gateway/net/ServerConnectionTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/net/ServerConnectionTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 class ServerConnectionTest {
-  private static final ClientLimits LIMITS = new ClientLimits(100, 8_000, false, 100);
+  private static final HttpClientSettings LIMITS = new HttpClientSettings(100, 8_000, false, 100);
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final HttpClient client = new HttpClient(channel.eventLoop(), LIMITS, () -> 0L);
   private final ServerConnection connection = new ServerConnection(client, "pool", LIMITS);
-  private final List<Reply> replies = new ArrayList<>();
+  private final List<ExchangeResult> replies = new ArrayList<>();
 
   ServerConnectionTest() {
     channel.pipeline().addLast(new HttpClientCodec()).addLast(connection);
@@ -29,7 +29,7 @@
 
   private Exchange run(String id) {
     var request =
-        new Outgoing(
+        new OutgoingRequest(
             "pool",
             new Address("127.0.0.1", 80),
             HttpMethod.GET,
@@ -60,7 +60,7 @@
   }
 
   private String body(int i) {
-    return new String(((Reply.Answer) replies.get(i)).body(), StandardCharsets.UTF_8);
+    return new String(((ExchangeResult.Response) replies.get(i)).body(), StandardCharsets.UTF_8);
   }
 
   @Test
@@ -68,7 +68,7 @@
     run("1");
     server(answer("1", "abc"));
     assertThat(body(0)).isEqualTo("abc");
-    assertThat(client.hasIdle("pool")).isTrue();
+    assertThat(client.hasIdleConnection("pool")).isTrue();
   }
 
   @Test
@@ -79,7 +79,7 @@
     server(answer("2", "new"));
     assertThat(body(0)).isEqualTo("new");
     assertThat(channel.isActive()).isFalse();
-    assertThat(client.hasIdle("pool")).isFalse();
+    assertThat(client.hasIdleConnection("pool")).isFalse();
   }
 
   @Test
@@ -96,7 +96,7 @@
     run("1");
     server("HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 10\r\n\r\nabc");
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(replies).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
@@ -104,7 +104,7 @@
     run("1");
     server("garbage garbage\r\n\r\n");
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(replies).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
@@ -122,7 +122,7 @@
     server("HTTP/1.1 200 OK\r\nid: 1\r\n\r\nabc");
     channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(replies).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
@@ -130,13 +130,13 @@
     run("1");
     server("HTTP/1.1 200 OK\r\nid: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     assertThat(replies).hasSize(1);
-    assertThat(client.hasIdle("pool")).isFalse();
+    assertThat(client.hasIdleConnection("pool")).isFalse();
   }
 
   @Test
   void shouldTellOneEndWhenTheExchangeWasAbandoned() {
     Exchange e = run("1");
-    e.abandon();
+    e.abort();
     assertThat(channel.isActive()).isFalse();
     assertThat(replies).isEmpty();
   }
@@ -145,6 +145,6 @@
   void shouldBeBrokenWhenTheAnswerIsTooLarge() {
     run("1");
     server(answer("1", "x".repeat(101)));
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(replies).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 }
