--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
@@ -6,26 +6,26 @@
 import java.util.Set;
 
 /**
- * Tells what an upstream's reply proves. Immutable and thread-safe.
+ * Determines the outcome of an attempt from the result of its exchange. Immutable and thread-safe.
  *
- * @param wire header fields
+ * @param wire reads the header fields of upstreams
  */
-record ReplyJudge(UpstreamWire wire) {
+record AttemptClassifier(UpstreamWire wire) {
   private static final int MISDIRECTED = 421;
   private static final int SERVER_ERROR = 500;
   private static final int SUCCESS = 200;
   private static final int REDIRECT = 300;
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
-  /** How the attempt ended that brought the reply. */
-  AttemptOutcome end(ExchangeResult reply) {
-    if (reply instanceof ExchangeResult.NotSent) {
+  /** Returns the outcome of the attempt that had the given result. */
+  AttemptOutcome classify(ExchangeResult result) {
+    if (result instanceof ExchangeResult.NotSent) {
       return AttemptOutcome.UNREACHABLE;
     }
-    if (reply instanceof ExchangeResult.Incomplete) {
+    if (result instanceof ExchangeResult.Incomplete) {
       return AttemptOutcome.BROKEN;
     }
-    if (!(reply instanceof ExchangeResult.Response r)) {
+    if (!(result instanceof ExchangeResult.Response r)) {
       return AttemptOutcome.TIMED_OUT;
     }
     if (wire.notRun(r.status(), r.headers())) {
@@ -38,19 +38,22 @@
     return r.status() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
   }
 
-  /** Tells whether an upstream's own failure can be passed on without promising too much. */
-  boolean passable(ExchangeResult.Response r) {
+  /**
+   * Checks whether an upstream's error response may be forwarded: it must not claim that the
+   * request was not executed.
+   */
+  boolean isForwardable(ExchangeResult.Response r) {
     return wire.signed(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
   }
 
-  /** Says for a log line why a reply is no good answer. */
-  static String cause(ExchangeResult reply) {
-    if (reply instanceof ExchangeResult.Response r) {
+  /** Describes for a log line why a result is not a usable response. */
+  static String cause(ExchangeResult result) {
+    if (result instanceof ExchangeResult.Response r) {
       return "status " + r.status();
     }
-    if (reply instanceof ExchangeResult.NotSent n) {
+    if (result instanceof ExchangeResult.NotSent n) {
       return n.cause();
     }
-    return reply instanceof ExchangeResult.Incomplete b ? b.cause() : "late";
+    return result instanceof ExchangeResult.Incomplete b ? b.cause() : "timed out";
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerListener.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerListener.java
@@ -18,8 +18,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A port on which callers connect, with the chain of filters for their requests. Confined to the
- * event loop.
+ * Accepts connections of callers on a port and passes their requests to a chain of handlers.
+ * Confined to the event loop.
  */
 public final class CallerListener {
   private static final int BACKLOG = 1_024;
@@ -27,37 +27,37 @@
   private static final int MAX_CHUNK_BYTES = 65_536;
 
   private final EventLoop loop;
-  private final List<RequestHandler> chain;
+  private final List<RequestHandler> handlers;
   private final Supplier<CallerLimits> limits;
   private final LongSupplier clock;
   private final Set<CallerConnection> connections = new LinkedHashSet<>();
   private @Nullable Channel channel;
-  private boolean closing;
+  private boolean draining;
 
   /**
-   * Creates a port that is not open.
+   * Creates a listener that is not open yet.
    *
-   * @param loop the loop that everything runs on
-   * @param chain filters, first to last; the last takes every request
-   * @param limits what callers may send at the moment
-   * @param clock a steady clock, in milliseconds
+   * @param loop the event loop of all its connections
+   * @param handlers the handlers in order; the last must handle every request
+   * @param limits supplies the current limits on requests
+   * @param clock a monotonic clock, in milliseconds
    */
   public CallerListener(
       EventLoop loop,
-      List<RequestHandler> chain,
+      List<RequestHandler> handlers,
       Supplier<CallerLimits> limits,
       LongSupplier clock) {
     this.loop = loop;
-    this.chain = List.copyOf(chain);
+    this.handlers = List.copyOf(handlers);
     this.limits = limits;
     this.clock = clock;
   }
 
   /**
-   * Opens the port.
+   * Starts to listen.
    *
-   * @param address where to listen
-   * @return completes when callers can connect
+   * @param address the address to bind
+   * @return a future that completes when callers can connect
    */
   public ChannelFuture open(Address address) {
     ChannelFuture f =
@@ -71,7 +71,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel ch) {
-                    prepare(ch);
+                    initConnection(ch);
                   }
                 })
             .bind(address.ip(), address.port());
@@ -79,7 +79,7 @@
     return f;
   }
 
-  private void prepare(Channel ch) {
+  private void initConnection(Channel ch) {
     CallerLimits l = limits.get();
     var connection = new CallerConnection(this, ch, l);
     ch.pipeline()
@@ -88,33 +88,33 @@
     connections.add(connection);
   }
 
-  /** Closes connections that callers leave idle, or on which they send too slowly. */
+  /** Closes connections that are idle, or on which a request stalls, beyond the idle timeout. */
   public void closeTimedOutConnections() {
     long now = clock.getAsLong();
     CallerLimits l = limits.get();
-    List.copyOf(connections).forEach(c -> c.closeIfIdle(l, now));
+    List.copyOf(connections).forEach(c -> c.closeIfTimedOut(l, now));
   }
 
-  /** Stops listening, and tells callers with every answer to leave. */
+  /** Stops accepting connections and closes each open one after its next response. */
   public void stopListening() {
-    closing = true;
+    draining = true;
     if (channel != null) {
       channel.close();
     }
   }
 
-  /** Tells callers with every answer from now on that their connection ends. */
+  /** Closes each connection after its next response; new connections are still accepted. */
   public void startDraining() {
-    closing = true;
+    draining = true;
   }
 
-  /** Closes connections on which nothing is in flight. */
+  /** Closes connections without requests in flight. */
   public void closeUnusedConnections() {
-    List.copyOf(connections).forEach(CallerConnection::closeIfQuiet);
+    List.copyOf(connections).forEach(CallerConnection::closeIfUnused);
   }
 
   /**
-   * Counts requests without a complete answer.
+   * Counts requests that have no complete response.
    *
    * @return the count
    */
@@ -122,19 +122,19 @@
     return connections.stream().mapToInt(CallerConnection::inFlight).sum();
   }
 
-  List<RequestHandler> chain() {
-    return chain;
+  List<RequestHandler> handlers() {
+    return handlers;
   }
 
-  boolean closing() {
-    return closing;
+  boolean draining() {
+    return draining;
   }
 
   long now() {
     return clock.getAsLong();
   }
 
-  void closed(CallerConnection c) {
+  void removeConnection(CallerConnection c) {
     connections.remove(c);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerResponse.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerResponse.java
@@ -6,21 +6,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An answer to a caller.
+ * A response to a caller.
  *
  * @param status its status
- * @param headers its header fields, without those of one connection or of the body's length
+ * @param headers its header fields, without hop-by-hop fields and Content-Length
  * @param body its body
  */
 public record CallerResponse(int status, HttpHeaders headers, byte[] body) {
   private static final double MS_PER_SECOND = 1_000;
 
   /**
-   * Makes an answer with a JSON body.
+   * Creates a response with a JSON body.
    *
    * @param status the status
    * @param json the body
-   * @return the answer
+   * @return the response
    */
   public static CallerResponse json(int status, String json) {
     HttpHeaders h = new DefaultHttpHeaders();
@@ -29,10 +29,10 @@
   }
 
   /**
-   * Makes an answer that says why a request was not served.
+   * Creates a problem details response for a request that was not served.
    *
    * @param p the reason
-   * @return the answer
+   * @return the response
    */
   public static CallerResponse problem(Refusal p) {
     HttpHeaders h = new DefaultHttpHeaders();
@@ -41,10 +41,10 @@
   }
 
   /**
-   * Adds when the caller should come back.
+   * Sets the delay after which the caller should retry.
    *
    * @param ms milliseconds from now
-   * @return this answer
+   * @return this response
    */
   public CallerResponse retryAfter(long ms) {
     headers.set(HttpHeaderNames.RETRY_AFTER, Double.toString(ms / MS_PER_SECOND));
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
@@ -17,22 +17,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * What requests need to run, shared by all of them. Confined to the event loop.
+ * The state and collaborators that all forwarded requests share. Confined to the event loop.
  *
  * @param dataCentre the name of this host's data centre
- * @param loop the loop that everything runs on
- * @param clock a steady clock, in milliseconds
- * @param log where decisions are told
- * @param wire header fields
- * @param client connections to upstreams
- * @param placement where requests get their places
- * @param parts shares of split routes
- * @param repeats budgets for repeats, by service
- * @param rests bounds on the rest of kept connections, by service
- * @param workTimes usual answer times, by route
- * @param patience how long callers of each route wait
- * @param repeatBudget the bounds for repeats
- * @param figures counts what happens
+ * @param loop the event loop of the host
+ * @param clock a monotonic clock, in milliseconds
+ * @param log receives events
+ * @param wire reads and writes header fields for upstreams
+ * @param client sends requests to upstreams
+ * @param placement assigns requests to upstreams
+ * @param weightedRoundRobin divides routes between several services
+ * @param retryWindows retry budgets, by service
+ * @param idleReuseLimits limits on the idle time of reused connections, by service
+ * @param processingTimes typical response times, by route
+ * @param callerElapsedTime estimates the time a caller has spent before its request arrives, by
+ *     route
+ * @param retryBudget the settings of retry budgets
+ * @param figures the host's metrics
  */
 public record ForwardingContext(
     String dataCentre,
@@ -42,26 +43,26 @@
     UpstreamWire wire,
     HttpClient client,
     Placement placement,
-    WeightedRoundRobin parts,
-    Map<String, RetryWindow> repeats,
-    Map<String, IdleReuseLimit> rests,
-    ProcessingTimes workTimes,
-    CallerElapsedTime patience,
-    RetryBudget repeatBudget,
+    WeightedRoundRobin weightedRoundRobin,
+    Map<String, RetryWindow> retryWindows,
+    Map<String, IdleReuseLimit> idleReuseLimits,
+    ProcessingTimes processingTimes,
+    CallerElapsedTime callerElapsedTime,
+    RetryBudget retryBudget,
     Figures figures) {
 
   /**
-   * Creates tools with no history.
+   * Creates a context without history.
    *
    * @param dataCentre the name of this host's data centre
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where decisions are told
-   * @param wire header fields
-   * @param client connections to upstreams
-   * @param placement where requests get their places
-   * @param repeatBudget the bounds for repeats
-   * @param figures counts what happens
+   * @param loop the event loop of the host
+   * @param clock a monotonic clock, in milliseconds
+   * @param log receives events
+   * @param wire reads and writes header fields for upstreams
+   * @param client sends requests to upstreams
+   * @param placement assigns requests to upstreams
+   * @param retryBudget the settings of retry budgets
+   * @param figures the host's metrics
    */
   public ForwardingContext(
       String dataCentre,
@@ -71,7 +72,7 @@
       UpstreamWire wire,
       HttpClient client,
       Placement placement,
-      RetryBudget repeatBudget,
+      RetryBudget retryBudget,
       Figures figures) {
     this(
         dataCentre,
@@ -86,34 +87,35 @@
         new HashMap<>(),
         new ProcessingTimes(),
         new CallerElapsedTime(),
-        repeatBudget,
+        retryBudget,
         figures);
   }
 
-  RetryWindow repeats(String service) {
-    return repeats.computeIfAbsent(
-        service, s -> new RetryWindow(repeatBudget.windowMs, repeatBudget.ratio));
+  RetryWindow retryWindows(String service) {
+    return retryWindows.computeIfAbsent(
+        service, s -> new RetryWindow(retryBudget.windowMs, retryBudget.ratio));
   }
 
-  IdleReuseLimit rest(String service) {
-    return rests.computeIfAbsent(service, s -> new IdleReuseLimit());
+  IdleReuseLimit idleReuseLimit(String service) {
+    return idleReuseLimits.computeIfAbsent(service, s -> new IdleReuseLimit());
   }
 
-  ReplyJudge judge() {
-    return new ReplyJudge(wire);
+  AttemptClassifier attemptClassifier() {
+    return new AttemptClassifier(wire);
   }
 
-  boolean mayRepeat(String service) {
-    return repeats(service)
-        .tryAcquireRetry(repeatBudget.allowance.getAsDouble(), clock.getAsLong());
+  boolean tryAcquireRetryBudget(String service) {
+    return retryWindows(service)
+        .tryAcquireRetry(retryBudget.fixedAllowance.getAsDouble(), clock.getAsLong());
   }
 
   /**
-   * The bounds for repeats of this host.
+   * The settings of the retry budgets of this host.
    *
    * @param windowMs length of the sliding window, in milliseconds
-   * @param ratio repeats allowed for each request
-   * @param allowance this host's part of the fixed allowance of a window
+   * @param ratio retries allowed for each request
+   * @param fixedAllowance this host's share of the retries that a window allows regardless of
+   *     requests
    */
-  public record RetryBudget(long windowMs, double ratio, DoubleSupplier allowance) {}
+  public record RetryBudget(long windowMs, double ratio, DoubleSupplier fixedAllowance) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
@@ -6,27 +6,30 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Serves requests by the routes in force. Takes every request. Confined to the event loop. */
+/**
+ * Forwards requests to upstreams according to the routes in force. Handles every request. Confined
+ * to the event loop.
+ */
 public final class ForwardingHandler implements RequestHandler {
   private static final long NOT_READY_RETRY_MS = 300;
 
   private final ConfigurationController configuration;
-  private final ForwardingContext tools;
+  private final ForwardingContext context;
 
   /**
-   * Creates a filter.
+   * Creates a handler.
    *
    * @param configuration the routes in force
-   * @param tools what requests need to run
+   * @param context what forwarded requests share
    */
-  public ForwardingHandler(ConfigurationController configuration, ForwardingContext tools) {
+  public ForwardingHandler(ConfigurationController configuration, ForwardingContext context) {
     this.configuration = configuration;
-    this.tools = tools;
+    this.context = context;
   }
 
   @Override
   public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
-    Optional<String> id = tools.wire().requestId(request.headers());
+    Optional<String> id = context.wire().requestId(request.headers());
     if (id.isEmpty()) {
       return refuse(request, "", Refusal.NO_ID, answer);
     }
@@ -38,14 +41,14 @@
     if (route.isEmpty()) {
       return refuse(request, id.get(), Refusal.NO_ROUTE, answer);
     }
-    var run = new RequestRun(tools, request, id.get(), route.get(), answer);
-    run.start();
-    return Optional.of(run);
+    var forwarded = new ForwardedRequest(context, request, id.get(), route.get(), answer);
+    forwarded.start();
+    return Optional.of(forwarded);
   }
 
   private Optional<Cancellable> refuse(
       CallerRequest request, String id, Refusal why, Consumer<CallerResponse> answer) {
-    tools
+    context
         .log()
         .event("refused")
         .with("id", id.isEmpty() ? "none" : id)
@@ -55,7 +58,7 @@
         .write();
     CallerResponse a = CallerResponse.problem(why);
     if (!id.isEmpty()) {
-      tools.wire().identify(a.headers(), id);
+      context.wire().identify(a.headers(), id);
     }
     answer.accept(why == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
     return Optional.of(Cancellable.COMPLETED);
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers questions for the host's metrics. Confined to the event loop.
+ * Serves the host's metrics. Confined to the event loop.
  *
- * @param figures what the host has counted
+ * @param figures the host's metrics
  */
 public record MetricsHandler(Figures figures) implements RequestHandler {
   private static final String PATH = "/metrics";
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Why the system answers a request itself. Thread-safe. */
+/** The reasons for which the host itself rejects or fails a request. Thread-safe. */
 public enum Refusal {
   /** The header section or the body can't be read. */
   MALFORMED(400, "the request can't be read", "send a well-formed HTTP/1.1 request"),
@@ -15,15 +15,15 @@
   BODY_TOO_LARGE(413, "the body is too large", "send a smaller body"),
   /** The header section is larger than operators allow. */
   HEADERS_TOO_LARGE(431, "the header section is too large", "send fewer header fields"),
-  /** What came from upstreams is no answer, and the request may have run. */
+  /** No usable response came from an upstream, and the request may have been executed. */
   NO_ANSWER(502, "no whole answer came from an upstream", "find out whether the request ran"),
-  /** This host knows no configuration yet, or is stopping. */
+  /** This host has no configuration yet, or is shutting down. */
   NOT_READY(503, "this host is not ready", "ask for addresses again"),
   /** No upstream can run the request in time. */
   NO_ROOM(503, "no upstream has room", "come back after the time given"),
-  /** Every upstream tried said that it did not run the request. */
+  /** Every upstream tried reported that it did not execute the request. */
   NOT_RUN(503, "upstreams did not run the request", "come back after the time given"),
-  /** The time is over, and the request may have run. */
+  /** The deadline has passed, and the request may have been executed. */
   LATE(504, "no answer came in time", "find out whether the request ran");
 
   private final int status;
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Returns the status of the answer.
+   * Returns the status of the response.
    *
    * @return an HTTP status
    */
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Returns what is the matter.
+   * Returns the description of the problem.
    *
    * @return plain text without quotes
    */
@@ -55,7 +55,7 @@
   }
 
   /**
-   * Returns what the caller can do.
+   * Returns what the caller can do about it.
    *
    * @return plain text without quotes
    */
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Returns the body of the answer.
+   * Returns the body of the response.
    *
    * @return a JSON object as UTF-8
    */
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Returns the word for logs and answers.
+   * Returns the label for logs, metrics and responses.
    *
    * @return lower case with hyphens
    */
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestHandler.java
@@ -4,28 +4,29 @@
 import java.util.function.Consumer;
 
 /**
- * A link of the chain that a request passes. The first filter that takes a request answers it.
+ * A handler in the chain that each request passes through. The first handler that accepts a request
+ * responds to it.
  *
  * <p>Called on the event loop only.
  */
 @FunctionalInterface
 public interface RequestHandler {
   /**
-   * Takes a request, or passes it on.
+   * Handles a request, or leaves it to the next handler.
    *
    * @param request the request
-   * @param answer receives the answer, once, now or later on the event loop
-   * @return what runs for the request, or nothing when the next filter is to see it
+   * @param answer receives the response exactly once, during this call or later on the event loop
+   * @return the request being handled, or empty to leave it to the next handler
    */
   Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer);
 
-  /** A request that was taken. */
+  /** A request being handled, which can be cancelled. */
   @FunctionalInterface
   interface Cancellable {
-    /** A request whose answer is given already. */
+    /** A request that has its response already; cancelling it has no effect. */
     Cancellable COMPLETED = () -> {};
 
-    /** Stops it, because the caller has left; no answer is wanted any more. */
+    /** Cancels the request, because the caller has disconnected and needs no response. */
     void cancel();
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/package-info.java
@@ -1,4 +1,4 @@
-/** The data path: from a caller's request to an upstream's answer. */
+/** The data path: accepts requests of callers and forwards them to upstreams. */
 @NullMarked
 package dev.cactusstack.gateway.callers;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
@@ -6,15 +6,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request on its way and its answer.
+ * A request that was sent to a server, until its result.
  *
- * <p>Invariant: the end is told once. Confined to the event loop.
+ * <p>Invariant: the result is delivered at most once. Confined to the event loop.
  */
 public final class Exchange {
   private final OutgoingRequest request;
   private final Consumer<ExchangeResult> end;
   private @Nullable Channel channel;
-  private @Nullable Future<?> watch;
+  private @Nullable Future<?> setTimeoutTimer;
   private long connectionIdleMs;
   private boolean mayHaveBeenSent;
   private boolean ended;
@@ -24,15 +24,15 @@
     this.end = end;
   }
 
-  /** Gives up: closes the connection, and tells no end. */
+  /** Aborts the exchange: closes the connection and delivers no result. */
   public void abort() {
-    if (finish()) {
+    if (markEnded()) {
       closeChannel();
     }
   }
 
   /**
-   * Tells whether a part of the request may have left this host.
+   * Checks whether a part of the request may have left this host.
    *
    * @return false while nothing was written
    */
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Tells how long the connection that carries the request had not been used.
+   * Returns how long the connection of the request had been idle.
    *
    * @return milliseconds, 0 for a new connection
    */
@@ -49,7 +49,7 @@
     return connectionIdleMs;
   }
 
-  void rested(long ms) {
+  void setConnectionIdleMs(long ms) {
     connectionIdleMs = ms;
   }
 
@@ -57,15 +57,15 @@
     return request;
   }
 
-  void watch(Future<?> timer) {
-    this.watch = timer;
+  void setTimeoutTimer(Future<?> timer) {
+    this.setTimeoutTimer = timer;
   }
 
-  void attach(Channel ch) {
-    this.channel = ch;
+  void attach(Channel newChannel) {
+    this.channel = newChannel;
   }
 
-  void sending() {
+  void markSending() {
     mayHaveBeenSent = true;
   }
 
@@ -73,8 +73,8 @@
     return ended;
   }
 
-  void late() {
-    if (finish()) {
+  void timeOut() {
+    if (markEnded()) {
       closeChannel();
       end.accept(
           mayHaveBeenSent
@@ -84,18 +84,18 @@
   }
 
   void end(ExchangeResult reply) {
-    if (finish()) {
+    if (markEnded()) {
       end.accept(reply);
     }
   }
 
-  private boolean finish() {
+  private boolean markEnded() {
     if (ended) {
       return false;
     }
     ended = true;
-    if (watch != null) {
-      watch.cancel(false);
+    if (setTimeoutTimer != null) {
+      setTimeoutTimer.cancel(false);
     }
     return true;
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/ExchangeResult.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ExchangeResult.java
@@ -2,14 +2,14 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** How an exchange with a server ended. Implementations are immutable. */
+/** The result of an exchange with a server. Implementations are immutable. */
 public sealed interface ExchangeResult {
   /**
-   * A whole answer.
+   * A complete response.
    *
    * @param status its status
    * @param headers its header fields
-   * @param body its whole body
+   * @param body its complete body
    */
   record Response(int status, HttpHeaders headers, byte[] body) implements ExchangeResult {}
 
@@ -21,12 +21,12 @@
   record NotSent(String cause) implements ExchangeResult {}
 
   /**
-   * The request may have been read, and no whole answer came.
+   * The request may have been received, but no complete response came.
    *
    * @param cause what happened
    */
   record Incomplete(String cause) implements ExchangeResult {}
 
-  /** The request may have been read, and no whole answer came in time. */
+  /** The request may have been received, but no complete response came in time. */
   record TimedOut() implements ExchangeResult {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
@@ -21,17 +21,17 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * Exchanges requests with servers over kept connections.
+ * An HTTP client that reuses connections to servers.
  *
- * <p>Invariant: a connection carries one exchange at a time, and is kept only after a whole answer
- * to a whole request with nothing after it. Confined to its event loop.
+ * <p>Invariant: a connection carries one exchange at a time, and is reused only after a complete
+ * request and a complete response with no bytes after it. Confined to its event loop.
  */
 public final class HttpClient {
   private static final int MAX_LINE_BYTES = 16_384;
   private static final int MAX_HEADER_BYTES = 65_536;
   private static final int MAX_CHUNK_BYTES = 65_536;
-  private static final int PROBE_AFTER_S = 1;
-  private static final int PROBES = 2;
+  private static final int KEEPALIVE_PROBE_INTERVAL_S = 1;
+  private static final int MAX_KEEPALIVE_PROBES = 2;
 
   private final EventLoop loop;
   private final HttpClientSettings limits;
@@ -42,9 +42,9 @@
   /**
    * Creates a client without connections.
    *
-   * @param loop the loop that everything runs on
-   * @param limits bounds of its connections
-   * @param clock a steady clock, in milliseconds
+   * @param loop the event loop of all its connections
+   * @param limits timeouts and limits of its connections
+   * @param clock a monotonic clock, in milliseconds
    */
   public HttpClient(EventLoop loop, HttpClientSettings limits, LongSupplier clock) {
     this.loop = loop;
@@ -57,16 +57,17 @@
    *
    * @param request the request
    * @param timeoutMs longest time for the whole exchange, in milliseconds
-   * @param end receives the end, once
+   * @param end receives the result, once
    * @return the exchange
    */
   public Exchange send(OutgoingRequest request, long timeoutMs, Consumer<ExchangeResult> end) {
     var exchange = new Exchange(request, end);
-    exchange.watch(loop.schedule(exchange::late, Math.max(1, timeoutMs), TimeUnit.MILLISECONDS));
-    ServerConnection kept = takeIdle(request);
-    if (kept != null) {
-      exchange.rested(kept.idleFor(clock.getAsLong()));
-      kept.run(exchange);
+    exchange.setTimeoutTimer(
+        loop.schedule(exchange::timeOut, Math.max(1, timeoutMs), TimeUnit.MILLISECONDS));
+    ServerConnection reused = takeIdle(request);
+    if (reused != null) {
+      exchange.setConnectionIdleMs(reused.idleFor(clock.getAsLong()));
+      reused.run(exchange);
     } else {
       connect(exchange);
     }
@@ -78,7 +79,7 @@
     long now = clock.getAsLong();
     for (Iterator<Deque<ServerConnection>> i = idle.values().iterator(); i.hasNext(); ) {
       Deque<ServerConnection> pool = i.next();
-      while (!pool.isEmpty() && pool.peekLast().idleFor(now) >= pool.peekLast().keepMs()) {
+      while (!pool.isEmpty() && pool.peekLast().idleFor(now) >= pool.peekLast().keepAliveMs()) {
         pool.removeLast().close();
       }
       if (pool.isEmpty()) {
@@ -97,10 +98,10 @@
   }
 
   /**
-   * Tells whether a request could go on a kept connection.
+   * Checks whether a request could reuse a connection.
    *
-   * @param pool the pool's name
-   * @return true when an idle connection is there
+   * @param pool the key of the connection pool
+   * @return true if there is an idle connection
    */
   public boolean hasIdleConnection(String pool) {
     return idle.containsKey(pool);
@@ -112,15 +113,18 @@
       return null;
     }
     long now = clock.getAsLong();
-    ServerConnection c = pool.peekFirst();
-    boolean usable = c != null && c.idleFor(now) <= Math.min(r.maxIdleMs(), c.keepMs()) && c.open();
+    ServerConnection candidate = pool.peekFirst();
+    boolean usable =
+        candidate != null
+            && candidate.idleFor(now) <= Math.min(r.maxIdleMs(), candidate.keepAliveMs())
+            && candidate.isOpen();
     if (usable) {
       pool.removeFirst();
     }
     if (pool.isEmpty()) {
       idle.remove(r.connectionPoolKey());
     }
-    return usable ? c : null;
+    return usable ? candidate : null;
   }
 
   private void connect(Exchange exchange) {
@@ -158,21 +162,24 @@
                 });
     if (limits.tcpKeepAlive()) {
       b.option(ChannelOption.SO_KEEPALIVE, true)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_S)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_AFTER_S)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES);
+          .option(
+              NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_PROBE_INTERVAL_S)
+          .option(
+              NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL),
+              KEEPALIVE_PROBE_INTERVAL_S)
+          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), MAX_KEEPALIVE_PROBES);
     }
     return b;
   }
 
-  void keep(ServerConnection c) {
-    idle.computeIfAbsent(c.pool(), p -> new ArrayDeque<>()).addFirst(c);
+  void addIdle(ServerConnection c) {
+    idle.computeIfAbsent(c.connectionPoolKey(), p -> new ArrayDeque<>()).addFirst(c);
   }
 
-  void forget(ServerConnection c) {
-    Deque<ServerConnection> pool = idle.get(c.pool());
+  void removeIdle(ServerConnection c) {
+    Deque<ServerConnection> pool = idle.get(c.connectionPoolKey());
     if (pool != null && pool.remove(c) && pool.isEmpty()) {
-      idle.remove(c.pool());
+      idle.remove(c.connectionPoolKey());
     }
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClientSettings.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClientSettings.java
@@ -1,13 +1,13 @@
 package dev.cactusstack.gateway.net;
 
 /**
- * Bounds of a client's connections. Immutable and thread-safe.
+ * Timeouts and limits of a client's connections. Immutable and thread-safe.
  *
- * @param connectTimeoutMs longest time for making a connection, in milliseconds
- * @param idleTimeoutMs how long an unused connection is kept when the server doesn't say, in
+ * @param connectTimeoutMs longest time to connect, in milliseconds
+ * @param idleTimeoutMs how long an idle connection is kept if the server announces no timeout, in
  *     milliseconds
- * @param tcpKeepAlive whether silent connections are probed
- * @param maxResponseBytes largest body of an answer
+ * @param tcpKeepAlive whether idle connections are probed by TCP
+ * @param maxResponseBytes largest body of a response, in bytes
  */
 public record HttpClientSettings(
     int connectTimeoutMs, long idleTimeoutMs, boolean tcpKeepAlive, int maxResponseBytes) {}
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/OutgoingRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/OutgoingRequest.java
@@ -8,14 +8,14 @@
 /**
  * A request to a server. Confined to one thread.
  *
- * @param connectionPoolKey name of the connections that may carry it
+ * @param connectionPoolKey the key of the connection pool to use
  * @param address the server's address
  * @param method its method
  * @param target its target
  * @param headers its header fields, without those of the body
  * @param body its body, possibly empty
- * @param responseMatcher tells from an answer's header fields whether it answers this request
- * @param maxIdleMs how long a kept connection may have been idle to be used, in milliseconds
+ * @param responseMatcher checks by the header fields whether a response belongs to this request
+ * @param maxIdleMs longest idle time of a connection to be reused, in milliseconds
  */
 public record OutgoingRequest(
     String connectionPoolKey,
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
@@ -20,44 +20,45 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a server.
+ * A connection to a server.
  *
- * <p>An answer counts only when it is whole and bears the id of the request that waits; another
- * answer is skipped, and the connection is closed after the exchange. Confined to the event loop.
+ * <p>A response is accepted only if it is complete and belongs to the current request. A response
+ * to another request is skipped, and the connection is closed after the exchange. Confined to the
+ * event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
   private static final String TIMEOUT_FIELD = "timeout=";
-  private static final double KEEP_SHARE = 0.8;
+  private static final double KEEP_ALIVE_SAFETY_FACTOR = 0.8;
   private static final long MS_PER_SECOND = 1_000;
   private static final HttpVersion VERSION = HttpVersion.HTTP_1_1;
 
   private final HttpClient client;
-  private final String pool;
+  private final String connectionPoolKey;
   private final HttpClientSettings limits;
   private @Nullable Channel channel;
   private @Nullable Exchange exchange;
   private @Nullable HttpResponse head;
   private byte[] body = new byte[0];
   private int bodyLength;
-  private boolean skipping;
+  private boolean skippingResponse;
   private boolean reusable = true;
-  private boolean written;
-  private boolean reset;
+  private boolean requestWritten;
+  private boolean connectionFailed;
   private long idleSinceMs;
-  private long keepMs;
+  private long keepAliveMs;
 
   ServerConnection(HttpClient client, String pool, HttpClientSettings limits) {
     this.client = client;
-    this.pool = pool;
+    this.connectionPoolKey = pool;
     this.limits = limits;
-    this.keepMs = limits.idleTimeoutMs();
+    this.keepAliveMs = limits.idleTimeoutMs();
   }
 
-  String pool() {
-    return pool;
+  String connectionPoolKey() {
+    return connectionPoolKey;
   }
 
-  boolean open() {
+  boolean isOpen() {
     return channel != null && channel.isActive();
   }
 
@@ -65,8 +66,8 @@
     return nowMs - idleSinceMs;
   }
 
-  long keepMs() {
-    return keepMs;
+  long keepAliveMs() {
+    return keepAliveMs;
   }
 
   void close() {
@@ -87,19 +88,19 @@
       return;
     }
     exchange = e;
-    written = false;
+    requestWritten = false;
     e.attach(ch);
-    e.sending();
-    ChannelFuture f = ch.writeAndFlush(message(e.request()));
+    e.markSending();
+    ChannelFuture f = ch.writeAndFlush(toNettyRequest(e.request()));
     f.addListener(
         done -> {
           if (exchange == e) {
-            written = done.isSuccess();
+            requestWritten = done.isSuccess();
           }
         });
   }
 
-  private static DefaultFullHttpRequest message(OutgoingRequest r) {
+  private static DefaultFullHttpRequest toNettyRequest(OutgoingRequest r) {
     var m =
         new DefaultFullHttpRequest(
             VERSION, r.method(), r.target(), Unpooled.wrappedBuffer(r.body()));
@@ -121,41 +122,41 @@
 
   private void read(Object msg) {
     if (exchange == null) {
-      // Bytes that no request asked for: whatever comes next can't be told apart.
+      // Unsolicited bytes: later responses could not be matched to their requests.
       close();
       return;
     }
     if (msg instanceof HttpResponse r) {
-      begin(r);
+      startResponse(r);
     }
     if (msg instanceof HttpContent c) {
-      append(c.content());
+      appendBody(c.content());
       if (c.decoderResult().isFailure()) {
-        broken("not an answer");
+        failExchange("malformed response");
       } else if (msg instanceof LastHttpContent) {
-        whole();
+        completeResponse();
       }
     }
   }
 
-  private void begin(HttpResponse r) {
+  private void startResponse(HttpResponse r) {
     if (r.decoderResult().isFailure()) {
-      broken("not an answer");
+      failExchange("malformed response");
       return;
     }
     Exchange e = exchange;
-    skipping = e == null || !e.request().responseMatcher().test(r.headers());
+    skippingResponse = e == null || !e.request().responseMatcher().test(r.headers());
     head = r;
     bodyLength = 0;
   }
 
-  private void append(ByteBuf content) {
+  private void appendBody(ByteBuf content) {
     int n = content.readableBytes();
-    if (skipping || n == 0) {
+    if (skippingResponse || n == 0) {
       return;
     }
     if (bodyLength + n > limits.maxResponseBytes()) {
-      broken("answer too large");
+      failExchange("response too large");
       return;
     }
     if (bodyLength + n > body.length) {
@@ -165,20 +166,20 @@
     bodyLength += n;
   }
 
-  private void whole() {
+  private void completeResponse() {
     HttpResponse r = head;
     Exchange e = exchange;
-    if (r == null || e == null || reset) {
+    if (r == null || e == null || connectionFailed) {
       return;
     }
     if (r.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
       return;
     }
-    if (skipping) {
+    if (skippingResponse) {
       reusable = false;
       return;
     }
-    reusable &= written && HttpUtil.isKeepAlive(r);
+    reusable &= requestWritten && HttpUtil.isKeepAlive(r);
     readKeepAlive(r);
     var answer =
         new ExchangeResult.Response(
@@ -201,24 +202,24 @@
       }
       seconds = seconds * 10 + (c - '0');
     }
-    keepMs = (long) (seconds * MS_PER_SECOND * KEEP_SHARE);
+    keepAliveMs = (long) (seconds * MS_PER_SECOND * KEEP_ALIVE_SAFETY_FACTOR);
   }
 
-  /** Makes the connection idle, or closes it when it can't be used again. */
+  /** Returns the connection to the pool, or closes it if it can't be reused. */
   private void release() {
     exchange = null;
     head = null;
     body = new byte[0];
     bodyLength = 0;
     idleSinceMs = client.now();
-    if (reusable && open()) {
-      client.keep(this);
+    if (reusable && isOpen()) {
+      client.addIdle(this);
     } else {
       close();
     }
   }
 
-  private void broken(String cause) {
+  private void failExchange(String cause) {
     Exchange e = exchange;
     exchange = null;
     reusable = false;
@@ -230,14 +231,14 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    reset = true;
-    broken("connection: " + cause.getMessage());
+    connectionFailed = true;
+    failExchange("connection: " + cause.getMessage());
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    client.forget(this);
-    broken("connection closed");
+    client.removeIdle(this);
+    failExchange("connection closed");
     ctx.fireChannelInactive();
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP over Netty: one connection at a time for each exchange. */
+/** An HTTP/1.1 client over Netty; a connection carries one exchange at a time. */
 @NullMarked
 package dev.cactusstack.gateway.net;
 
