--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
@@ -54,6 +54,6 @@
     if (result instanceof ExchangeResult.NotSent n) {
       return n.cause();
     }
-    return result instanceof ExchangeResult.Incomplete b ? b.cause() : "timed out";
+    return result instanceof ExchangeResult.Incomplete b ? b.cause() : "late";
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
@@ -141,13 +141,13 @@
   }
 
   /** Rejects a request that can't be read further, and closes the connection. */
-  private void refuse(Refusal why) {
+  private void refuse(Refusal refusal) {
     rejected = true;
     head = null;
     var entry = new PipelinedRequest(true);
     pipeline.add(entry);
     closing = true;
-    entry.response = CallerResponse.problem(why);
+    entry.response = CallerResponse.problem(refusal);
     flush();
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
@@ -43,7 +43,7 @@
   private final CallerRequest request;
   private final String id;
   private final RouteRule route;
-  private final Consumer<CallerResponse> answer;
+  private final Consumer<CallerResponse> responseConsumer;
   private final String service;
   private final long deadlineAtMs;
   private final long objectiveAtMs;
@@ -64,12 +64,12 @@
       CallerRequest request,
       String id,
       RouteRule route,
-      Consumer<CallerResponse> answer) {
+      Consumer<CallerResponse> responseConsumer) {
     this.context = context;
     this.request = request;
     this.id = id;
     this.route = route;
-    this.answer = answer;
+    this.responseConsumer = responseConsumer;
     this.service = context.weightedRoundRobin().next(route);
     long callerTimeoutMs = context.wire().deadlineMs(request.headers()).orElse(route.timeoutMs());
     this.deadlineAtMs = request.arrivedAtMs() + Math.min(callerTimeoutMs, route.timeoutMs());
@@ -225,16 +225,16 @@
     }
   }
 
-  private void handleAttemptEnd(Attempt a, ExchangeResult reply) {
+  private void handleAttemptEnd(Attempt a, ExchangeResult result) {
     activeAttempts.remove(a);
     Optional<ReportedLoad> load =
-        reply instanceof ExchangeResult.Response r
+        result instanceof ExchangeResult.Response r
             ? context.wire().load(r.headers())
             : Optional.empty();
-    AttemptOutcome end = context.attemptClassifier().classify(reply);
+    AttemptOutcome end = context.attemptClassifier().classify(result);
     report(a.key, a.upstream, end, now() - a.startedAtMs, load);
     figures().attemptEnded(end.label());
-    if (reply instanceof ExchangeResult.Incomplete
+    if (result instanceof ExchangeResult.Incomplete
         && now() - a.startedAtMs <= IMMEDIATE_RESET_MS
         && a.exchange != null) {
       context.idleReuseLimit(service).recordReset(a.exchange.connectionIdleMs(), now());
@@ -249,7 +249,7 @@
     if (done) {
       return;
     }
-    if (end == AttemptOutcome.ANSWERED && reply instanceof ExchangeResult.Response r) {
+    if (end == AttemptOutcome.ANSWERED && result instanceof ExchangeResult.Response r) {
       recordProcessingTime(now() - a.startedAtMs, load);
       deliver(r, a.upstream);
       return;
@@ -257,21 +257,21 @@
     event("attempt_ended")
         .with("upstream", a.upstream.id())
         .with("end", end.name())
-        .with("cause", AttemptClassifier.cause(reply))
+        .with("cause", AttemptClassifier.cause(result))
         .with("took_ms", now() - a.startedAtMs)
         .write();
-    retryOrGiveUp(end, reply);
+    retryOrGiveUp(end, result);
   }
 
   /** Retries or gives up after an attempt without a usable response. */
-  private void retryOrGiveUp(AttemptOutcome end, ExchangeResult reply) {
+  private void retryOrGiveUp(AttemptOutcome end, ExchangeResult result) {
     if (!activeAttempts.isEmpty() || pendingPlacement != null) {
       return;
     }
     boolean allowed = end.provesNotRun() || route.kind().idempotent();
     boolean attemptsLeft =
         possibleExecutions < route.maxAttempts() && sends < route.maxAttempts() + MAX_EXTRA_SENDS;
-    lastFailure = reply;
+    lastFailure = result;
     if (allowed && attemptsLeft && remainingMs() > MIN_REMAINING_MS) {
       requestPlacement(false);
       return;
@@ -286,17 +286,18 @@
         .recordResponse(route.name(), route.latencyObjectiveMs(), tookMs, reportedSlowdown);
   }
 
-  private void deliver(ExchangeResult.Response r, UpstreamRegistration by) {
+  private void deliver(ExchangeResult.Response r, UpstreamRegistration upstreamRegistration) {
     finish();
     figures().answered(now() - request.arrivedAtMs());
     event("answered")
         .with("status", r.status())
-        .with("upstream", by.id())
+        .with("upstream", upstreamRegistration.id())
         .with("load", context.wire().load(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
         .with("took_ms", now() - request.arrivedAtMs())
         .write();
-    answer.accept(new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
+    responseConsumer.accept(
+        new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
   }
 
   private void deadlineReached() {
@@ -311,17 +312,18 @@
   }
 
   /** Sends a failure to the caller when no upstream has served the request. */
-  private void giveUp(Refusal why, long retryAfterMs) {
+  private void giveUp(Refusal requestedRefusal, long retryAfterMs) {
     finish();
     if (lastFailure instanceof ExchangeResult.Response r
         && mayHaveRun
         && context.attemptClassifier().isForwardable(r)) {
       event("answered").with("status", r.status()).with("attempts", sends).write();
       figures().answered(now() - request.arrivedAtMs());
-      answer.accept(new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
+      responseConsumer.accept(
+          new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
       return;
     }
-    Refusal refusal = truthfulRefusal(why);
+    Refusal refusal = truthfulRefusal(requestedRefusal);
     figures().refused(refusal.label());
     event("refused")
         .with("why", refusal.label())
@@ -331,18 +333,20 @@
         .write();
     CallerResponse a = CallerResponse.problem(refusal);
     context.wire().identify(a.headers(), id);
-    answer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
+    responseConsumer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
   }
 
   /**
    * Replaces a refusal that would be untrue: one that promises that the request was not executed
    * must hold for every attempt.
    */
-  private Refusal truthfulRefusal(Refusal why) {
+  private Refusal truthfulRefusal(Refusal requestedRefusal) {
     if (!mayHaveRun) {
-      return why == Refusal.LATE || why == Refusal.NO_ANSWER ? Refusal.NO_ROOM : why;
+      return requestedRefusal == Refusal.LATE || requestedRefusal == Refusal.NO_ANSWER
+          ? Refusal.NO_ROOM
+          : requestedRefusal;
     }
-    return why == Refusal.LATE ? Refusal.LATE : Refusal.NO_ANSWER;
+    return requestedRefusal == Refusal.LATE ? Refusal.LATE : Refusal.NO_ANSWER;
   }
 
   private void finish() {
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
@@ -28,39 +28,43 @@
   }
 
   @Override
-  public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
+  public Optional<Cancellable> tryHandle(
+      CallerRequest request, Consumer<CallerResponse> responseConsumer) {
     Optional<String> id = context.wire().requestId(request.headers());
     if (id.isEmpty()) {
-      return refuse(request, "", Refusal.NO_ID, answer);
+      return refuse(request, "", Refusal.NO_ID, responseConsumer);
     }
     if (configuration.inForce().isEmpty()) {
-      return refuse(request, id.get(), Refusal.NOT_READY, answer);
+      return refuse(request, id.get(), Refusal.NOT_READY, responseConsumer);
     }
     String host = request.headers().get(HttpHeaderNames.HOST, "");
     Optional<RouteRule> route = configuration.routes().match(host, request.target());
     if (route.isEmpty()) {
-      return refuse(request, id.get(), Refusal.NO_ROUTE, answer);
+      return refuse(request, id.get(), Refusal.NO_ROUTE, responseConsumer);
     }
-    var forwarded = new ForwardedRequest(context, request, id.get(), route.get(), answer);
+    var forwarded = new ForwardedRequest(context, request, id.get(), route.get(), responseConsumer);
     forwarded.start();
     return Optional.of(forwarded);
   }
 
   private Optional<Cancellable> refuse(
-      CallerRequest request, String id, Refusal why, Consumer<CallerResponse> answer) {
+      CallerRequest request,
+      String id,
+      Refusal refusal,
+      Consumer<CallerResponse> responseConsumer) {
     context
         .log()
         .event("refused")
         .with("id", id.isEmpty() ? "none" : id)
-        .with("why", why.label())
+        .with("why", refusal.label())
         .with("target", request.target())
         .with("version", configuration.inForce().map(c -> c.version()).orElse(0L))
         .write();
-    CallerResponse a = CallerResponse.problem(why);
+    CallerResponse a = CallerResponse.problem(refusal);
     if (!id.isEmpty()) {
       context.wire().identify(a.headers(), id);
     }
-    answer.accept(why == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
+    responseConsumer.accept(refusal == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
     return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
@@ -18,13 +18,14 @@
   private static final int OK = 200;
 
   @Override
-  public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
+  public Optional<Cancellable> tryHandle(
+      CallerRequest request, Consumer<CallerResponse> responseConsumer) {
     if (!request.target().equals(PATH)) {
       return Optional.empty();
     }
     HttpHeaders h = new DefaultHttpHeaders();
     h.set(HttpHeaderNames.CONTENT_TYPE, FiguresText.CONTENT_TYPE);
-    answer.accept(new CallerResponse(OK, h, FiguresText.of(figures)));
+    responseConsumer.accept(new CallerResponse(OK, h, FiguresText.of(figures)));
     return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
@@ -16,15 +16,18 @@
   /** The header section is larger than operators allow. */
   HEADERS_TOO_LARGE(431, "the header section is too large", "send fewer header fields"),
   /** No usable response came from an upstream, and the request may have been executed. */
-  NO_ANSWER(502, "no whole answer came from an upstream", "find out whether the request ran"),
+  NO_ANSWER(
+      502,
+      "no complete response came from an upstream",
+      "find out whether the request was executed"),
   /** This host has no configuration yet, or is shutting down. */
-  NOT_READY(503, "this host is not ready", "ask for addresses again"),
+  NOT_READY(503, "this host is not ready", "resolve the host addresses again"),
   /** No upstream can run the request in time. */
-  NO_ROOM(503, "no upstream has room", "come back after the time given"),
+  NO_ROOM(503, "no upstream has a free slot in time", "retry after the time in Retry-After"),
   /** Every upstream tried reported that it did not execute the request. */
-  NOT_RUN(503, "upstreams did not run the request", "come back after the time given"),
+  NOT_RUN(503, "upstreams did not execute the request", "retry after the time in Retry-After"),
   /** The deadline has passed, and the request may have been executed. */
-  LATE(504, "no answer came in time", "find out whether the request ran");
+  LATE(504, "no response came in time", "find out whether the request was executed");
 
   private final int status;
   private final String title;
@@ -66,7 +69,7 @@
   /**
    * Returns the body of the response.
    *
-   * @return a JSON object as UTF-8
+   * @return a JSON object in UTF-8
    */
   byte[] body() {
     String json =
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestHandler.java
@@ -15,10 +15,11 @@
    * Handles a request, or leaves it to the next handler.
    *
    * @param request the request
-   * @param answer receives the response exactly once, during this call or later on the event loop
+   * @param responseConsumer receives the response exactly once, during this call or later on the
+   *     event loop
    * @return the request being handled, or empty to leave it to the next handler
    */
-  Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer);
+  Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> responseConsumer);
 
   /** A request being handled, which can be cancelled. */
   @FunctionalInterface
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
@@ -12,16 +12,16 @@
  */
 public final class Exchange {
   private final OutgoingRequest request;
-  private final Consumer<ExchangeResult> end;
+  private final Consumer<ExchangeResult> complete;
   private @Nullable Channel channel;
   private @Nullable Future<?> setTimeoutTimer;
   private long connectionIdleMs;
   private boolean mayHaveBeenSent;
-  private boolean ended;
+  private boolean hasEnded;
 
   Exchange(OutgoingRequest request, Consumer<ExchangeResult> end) {
     this.request = request;
-    this.end = end;
+    this.complete = end;
   }
 
   /** Aborts the exchange: closes the connection and delivers no result. */
@@ -69,31 +69,31 @@
     mayHaveBeenSent = true;
   }
 
-  boolean ended() {
-    return ended;
+  boolean hasEnded() {
+    return hasEnded;
   }
 
   void timeOut() {
     if (markEnded()) {
       closeChannel();
-      end.accept(
+      complete.accept(
           mayHaveBeenSent
               ? new ExchangeResult.TimedOut()
               : new ExchangeResult.NotSent("no connection in time"));
     }
   }
 
-  void end(ExchangeResult reply) {
+  void complete(ExchangeResult result) {
     if (markEnded()) {
-      end.accept(reply);
+      complete.accept(result);
     }
   }
 
   private boolean markEnded() {
-    if (ended) {
+    if (hasEnded) {
       return false;
     }
-    ended = true;
+    hasEnded = true;
     if (setTimeoutTimer != null) {
       setTimeoutTimer.cancel(false);
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
@@ -138,7 +138,7 @@
           if (done.isSuccess()) {
             connection.run(exchange);
           } else {
-            exchange.end(new ExchangeResult.NotSent("connect: " + done.cause().getMessage()));
+            exchange.complete(new ExchangeResult.NotSent("connect: " + done.cause().getMessage()));
           }
         });
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
@@ -83,7 +83,7 @@
 
   void run(Exchange e) {
     Channel ch = channel;
-    if (ch == null || e.ended()) {
+    if (ch == null || e.hasEnded()) {
       close();
       return;
     }
@@ -181,11 +181,11 @@
     }
     reusable &= requestWritten && HttpUtil.isKeepAlive(r);
     readKeepAlive(r);
-    var answer =
+    var response =
         new ExchangeResult.Response(
             r.status().code(), r.headers(), Arrays.copyOf(body, bodyLength));
     release();
-    e.end(answer);
+    e.complete(response);
   }
 
   private void readKeepAlive(HttpResponse r) {
@@ -225,7 +225,7 @@
     reusable = false;
     close();
     if (e != null) {
-      e.end(new ExchangeResult.Incomplete(cause));
+      e.complete(new ExchangeResult.Incomplete(cause));
     }
   }
 
