--- a/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
@@ -4,26 +4,26 @@
 import java.util.Objects;
 
 /**
- * What a host is told when it starts. Immutable and thread-safe.
+ * Settings of a host. Immutable and thread-safe.
  *
  * @param host the host's name
  * @param dataCentre the name of its data centre
- * @param callers where callers connect
- * @param readiness where the site asks whether the host is ready
- * @param directory where callers ask for addresses
- * @param metrics where the host's metrics are served
- * @param link where other hosts send datagrams
- * @param milliCores the processor that the host has, in thousandths of a core
- * @param bounds what the site holds the host to
+ * @param callersAddress the address that callers connect to
+ * @param readinessAddress the address of the readiness check
+ * @param directoryAddress the address of the directory that lists hosts for callers
+ * @param metricsAddress the address that serves the host's metrics
+ * @param linkAddress the address that receives datagrams of other hosts
+ * @param milliCores the CPU share of the host, in thousandths of a core
+ * @param bounds limits that the site sets
  */
 public record GatewaySettings(
     String host,
     String dataCentre,
-    Address callers,
-    Address readiness,
-    Address directory,
-    Address metrics,
-    Address link,
+    Address callersAddress,
+    Address readinessAddress,
+    Address directoryAddress,
+    Address metricsAddress,
+    Address linkAddress,
     int milliCores,
     Bounds bounds) {
   /** Checks the components. */
@@ -34,22 +34,23 @@
   }
 
   /**
-   * What the site holds hosts to. Immutable and thread-safe.
+   * Limits that the site sets for its hosts. Immutable and thread-safe.
    *
-   * @param repeatRatio repeats for each request to a service, over all hosts
-   * @param repeatWindowMs length of the window in which that holds, in milliseconds
-   * @param repeatAllowance repeats allowed in a window besides, over all hosts
-   * @param coldFactor factor on the rate that a cold upstream bears
-   * @param coldSlack requests a second to a cold upstream besides
-   * @param graceMs time from the signal to stop until the process is killed, in milliseconds
-   * @param longestTtlMs longest time that callers may keep addresses, in milliseconds
+   * @param retryRatio maximum retries for each request to a service, over all hosts
+   * @param retryWindowMs length of the window that the retry limits apply to, in milliseconds
+   * @param retryAllowance additional retries allowed in a window, over all hosts
+   * @param warmupRateFactor maximum request rate to a cold upstream, as a factor on its warmup rate
+   * @param warmupRateExtraPerSecond additional requests per second allowed to a cold upstream
+   * @param terminationGraceMs time from the termination signal until the process is killed, in
+   *     milliseconds
+   * @param maxTtlMs maximum time that callers may cache addresses, in milliseconds
    */
   public record Bounds(
-      double repeatRatio,
-      long repeatWindowMs,
-      double repeatAllowance,
-      double coldFactor,
-      double coldSlack,
-      long graceMs,
-      long longestTtlMs) {}
+      double retryRatio,
+      long retryWindowMs,
+      double retryAllowance,
+      double warmupRateFactor,
+      double warmupRateExtraPerSecond,
+      long terminationGraceMs,
+      long maxTtlMs) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.decisions.placing.AttemptOutcome;
 import dev.cactusstack.gateway.net.ExchangeResult;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import java.util.Set;
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param wire reads the header fields of upstreams
  */
-record AttemptClassifier(UpstreamWire wire) {
+record AttemptClassifier(UpstreamHeaders wire) {
   private static final int MISDIRECTED = 421;
   private static final int SERVER_ERROR = 500;
   private static final int SUCCESS = 200;
@@ -28,11 +28,11 @@
     if (!(result instanceof ExchangeResult.Response r)) {
       return AttemptOutcome.TIMED_OUT;
     }
-    if (wire.notRun(r.status(), r.headers())) {
+    if (wire.reportsNotRun(r.status(), r.headers())) {
       return r.status() == MISDIRECTED ? AttemptOutcome.WRONG_INSTANCE : AttemptOutcome.REFUSED;
     }
     boolean success = r.status() >= SUCCESS && r.status() < REDIRECT;
-    if (success && !wire.signed(r.headers())) {
+    if (success && !wire.isSigned(r.headers())) {
       return AttemptOutcome.BROKEN;
     }
     return r.status() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
@@ -43,7 +43,7 @@
    * request was not executed.
    */
   boolean isForwardable(ExchangeResult.Response r) {
-    return wire.signed(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
+    return wire.isSigned(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
   }
 
   /** Describes for a log line why a result is not a usable response. */
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
@@ -11,7 +11,7 @@
 import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.net.OutgoingRequest;
 import dev.cactusstack.gateway.observe.EventLine;
-import dev.cactusstack.gateway.observe.RouteFigures;
+import dev.cactusstack.gateway.observe.RouteMetrics;
 import dev.cactusstack.model.site.RouteRule;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -94,7 +94,7 @@
       return;
     }
     event("cancelled").with("attempts", sends).write();
-    figures().refused("cancelled");
+    figures().recordRefusal("cancelled");
     done = true;
     stopTimers();
     cancelPlacement();
@@ -118,7 +118,7 @@
             request.body().length,
             isHedge,
             triedUpstreams);
-    context.placement().place(service, placementRequest, v -> decided(v, isHedge));
+    context.placement().requestPlacement(service, placementRequest, v -> decided(v, isHedge));
   }
 
   private void decided(PlacementDecision decision, boolean isHedge) {
@@ -161,7 +161,7 @@
 
   private boolean tryAcquireRetryBudget() {
     boolean allowed = context.tryAcquireRetryBudget(service);
-    figures().repeat(allowed);
+    figures().recordRetryDecision(allowed);
     return allowed;
   }
 
@@ -170,10 +170,10 @@
     sends++;
     triedUpstreams.add(u.id());
     HttpHeaders headers = EndToEndHeaders.extract(request.headers());
-    context.wire().address(headers, remainingMs(), u.id());
+    context.wire().addUpstreamHeaders(headers, remainingMs(), u.id());
     var attempt = new Attempt(p.key(), u, now());
     activeAttempts.add(attempt);
-    figures().sent(now() - request.arrivedAtMs());
+    figures().recordSentAttempt(now() - request.arrivedAtMs());
     event("sent")
         .with("upstream", u.id())
         .with("address", u.address().toString())
@@ -205,7 +205,7 @@
   }
 
   private boolean matchesRequest(HttpHeaders h) {
-    return context.wire().requestId(h).map(id::equals).orElseGet(() -> context.wire().notRun(0, h));
+    return context.wire().requestId(h).map(id::equals).orElseGet(() -> context.wire().reportsNotRun(0, h));
   }
 
   private long hedgeDelayMs() {
@@ -229,11 +229,11 @@
     activeAttempts.remove(a);
     Optional<ReportedLoad> load =
         result instanceof ExchangeResult.Response r
-            ? context.wire().load(r.headers())
+            ? context.wire().reportedLoad(r.headers())
             : Optional.empty();
     AttemptOutcome end = context.attemptClassifier().classify(result);
     report(a.key, a.upstream, end, now() - a.startedAtMs, load);
-    figures().attemptEnded(end.label());
+    figures().recordAttemptOutcome(end.label());
     if (result instanceof ExchangeResult.Incomplete
         && now() - a.startedAtMs <= IMMEDIATE_RESET_MS
         && a.exchange != null) {
@@ -288,11 +288,11 @@
 
   private void deliver(ExchangeResult.Response r, UpstreamRegistration upstreamRegistration) {
     finish();
-    figures().answered(now() - request.arrivedAtMs());
+    figures().recordAnsweredRequest(now() - request.arrivedAtMs());
     event("answered")
         .with("status", r.status())
         .with("upstream", upstreamRegistration.id())
-        .with("load", context.wire().load(r.headers()).map(ReportedLoad::toString).orElse("untold"))
+        .with("load", context.wire().reportedLoad(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
         .with("took_ms", now() - request.arrivedAtMs())
         .write();
@@ -318,13 +318,13 @@
         && mayHaveRun
         && context.attemptClassifier().isForwardable(r)) {
       event("answered").with("status", r.status()).with("attempts", sends).write();
-      figures().answered(now() - request.arrivedAtMs());
+      figures().recordAnsweredRequest(now() - request.arrivedAtMs());
       responseConsumer.accept(
           new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
       return;
     }
     Refusal refusal = truthfulRefusal(requestedRefusal);
-    figures().refused(refusal.label());
+    figures().recordRefusal(refusal.label());
     event("refused")
         .with("why", refusal.label())
         .with("attempts", sends)
@@ -332,7 +332,7 @@
         .with("retry_ms", retryAfterMs)
         .write();
     CallerResponse a = CallerResponse.problem(refusal);
-    context.wire().identify(a.headers(), id);
+    context.wire().setRequestId(a.headers(), id);
     responseConsumer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
   }
 
@@ -368,7 +368,7 @@
 
   private void cancelPlacement() {
     if (pendingPlacement != null) {
-      context.placement().withdraw(pendingPlacement);
+      context.placement().cancelPlacement(pendingPlacement);
       pendingPlacement = null;
     }
   }
@@ -391,7 +391,7 @@
     context.placement().report(service, new AttemptReport(key, u.id(), end, tookMs, load));
   }
 
-  private RouteFigures figures() {
+  private RouteMetrics figures() {
     return context.figures().route(route.name());
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
@@ -7,9 +7,9 @@
 import dev.cactusstack.decisions.retries.RetryWindow;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.observe.Figures;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.Map;
@@ -40,16 +40,16 @@
     EventLoop loop,
     LongSupplier clock,
     EventLog log,
-    UpstreamWire wire,
+    UpstreamHeaders wire,
     HttpClient client,
-    Placement placement,
+    PlacementClient placement,
     WeightedRoundRobin weightedRoundRobin,
     Map<String, RetryWindow> retryWindows,
     Map<String, IdleReuseLimit> idleReuseLimits,
     ProcessingTimes processingTimes,
     CallerElapsedTime callerElapsedTime,
     RetryBudget retryBudget,
-    Figures figures) {
+    GatewayMetrics figures) {
 
   /**
    * Creates a context without history.
@@ -69,11 +69,11 @@
       EventLoop loop,
       LongSupplier clock,
       EventLog log,
-      UpstreamWire wire,
+      UpstreamHeaders wire,
       HttpClient client,
-      Placement placement,
+      PlacementClient placement,
       RetryBudget retryBudget,
-      Figures figures) {
+      GatewayMetrics figures) {
     this(
         dataCentre,
         loop,
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
@@ -34,11 +34,11 @@
     if (id.isEmpty()) {
       return refuse(request, "", Refusal.NO_ID, responseConsumer);
     }
-    if (configuration.inForce().isEmpty()) {
+    if (configuration.activeConfiguration().isEmpty()) {
       return refuse(request, id.get(), Refusal.NOT_READY, responseConsumer);
     }
     String host = request.headers().get(HttpHeaderNames.HOST, "");
-    Optional<RouteRule> route = configuration.routes().match(host, request.target());
+    Optional<RouteRule> route = configuration.routeMatcher().match(host, request.target());
     if (route.isEmpty()) {
       return refuse(request, id.get(), Refusal.NO_ROUTE, responseConsumer);
     }
@@ -58,11 +58,11 @@
         .with("id", id.isEmpty() ? "none" : id)
         .with("why", refusal.label())
         .with("target", request.target())
-        .with("version", configuration.inForce().map(c -> c.version()).orElse(0L))
+        .with("version", configuration.activeConfiguration().map(c -> c.version()).orElse(0L))
         .write();
     CallerResponse a = CallerResponse.problem(refusal);
     if (!id.isEmpty()) {
-      context.wire().identify(a.headers(), id);
+      context.wire().setRequestId(a.headers(), id);
     }
     responseConsumer.accept(refusal == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
     return Optional.of(Cancellable.COMPLETED);
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.gateway.observe.Figures;
-import dev.cactusstack.gateway.observe.FiguresText;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
+import dev.cactusstack.gateway.observe.PrometheusFormat;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -13,7 +13,7 @@
  *
  * @param figures the host's metrics
  */
-public record MetricsHandler(Figures figures) implements RequestHandler {
+public record MetricsHandler(GatewayMetrics figures) implements RequestHandler {
   private static final String PATH = "/metrics";
   private static final int OK = 200;
 
@@ -24,8 +24,8 @@
       return Optional.empty();
     }
     HttpHeaders h = new DefaultHttpHeaders();
-    h.set(HttpHeaderNames.CONTENT_TYPE, FiguresText.CONTENT_TYPE);
-    responseConsumer.accept(new CallerResponse(OK, h, FiguresText.of(figures)));
+    h.set(HttpHeaderNames.CONTENT_TYPE, PrometheusFormat.CONTENT_TYPE);
+    responseConsumer.accept(new CallerResponse(OK, h, PrometheusFormat.format(figures)));
     return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
@@ -5,83 +5,88 @@
 import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.site.HostRegistration;
 import java.util.List;
 
-/** What hosts tell each other, one datagram each. Implementations are immutable. */
+/** A message between hosts, sent as one datagram. Implementations are immutable. */
 public sealed interface LinkMessage {
   /**
-   * A round of gossip.
+   * The membership state that a host gossips periodically.
    *
-   * @param configurationRevision the store's revision of the newest change that the sender knows
-   * @param news entries of hosts whose start is news, the sender's own first
-   * @param pulses heartbeat counters
+   * @param configurationRevision the revision of the newest configuration change that the sender
+   *     has
+   * @param startedHosts registrations of recently started hosts, the sender's own first
+   * @param heartbeats heartbeat states of hosts
    */
-  record Beat(long configurationRevision, List<HostRegistration> news, List<HeartbeatState> pulses)
+  record Gossip(
+      long configurationRevision,
+      List<HostRegistration> startedHosts,
+      List<HeartbeatState> heartbeats)
       implements LinkMessage {
     /** Copies the components. */
-    public Beat {
-      news = List.copyOf(news);
-      pulses = List.copyOf(pulses);
+    public Gossip {
+      startedHosts = List.copyOf(startedHosts);
+      heartbeats = List.copyOf(heartbeats);
     }
   }
 
   /**
-   * The configuration in force at the sender.
+   * Carries the configuration in force at the sender.
    *
-   * @param known what it has in force, and since when
+   * @param snapshot the configuration with the revision of its newest change
    */
-  record Rules(KnownConfiguration known) implements LinkMessage {}
+  record ConfigurationUpdate(ConfigurationSnapshot snapshot) implements LinkMessage {}
 
   /**
-   * Asks for the configuration in force at the receiver, if it is newer.
+   * Queries the configuration in force at the receiver, if it is newer.
    *
-   * @param after the store's revision up to which the sender knows it
+   * @param knownRevision the revision of the sender's configuration
    */
-  record RulesWanted(long after) implements LinkMessage {}
+  record ConfigurationQuery(long knownRevision) implements LinkMessage {}
 
   /**
-   * A request that wants an upstream.
+   * Submits a request to the host that schedules its service.
    *
    * @param service the service's name
-   * @param ask the request
+   * @param request the placement request
    */
-  record Asked(String service, PlacementRequest ask) implements LinkMessage {}
+  record RequestSubmitted(String service, PlacementRequest request) implements LinkMessage {}
 
   /**
-   * What was decided about it.
+   * Returns the decision on a submitted request.
    *
-   * @param verdict the decision
+   * @param decision the decision
    */
-  record Decided(PlacementDecision verdict) implements LinkMessage {}
+  record DecisionMade(PlacementDecision decision) implements LinkMessage {}
 
   /**
-   * Ends of attempts; the newest first, then some that were told before, as datagrams get lost.
+   * Reports ended attempts: the newest first, then some earlier ones again, because datagrams may
+   * be lost.
    *
    * @param service the service's name
-   * @param reports the ends
+   * @param reports the reports
    */
-  record Ended(String service, List<AttemptReport> reports) implements LinkMessage {
+  record AttemptsEnded(String service, List<AttemptReport> reports) implements LinkMessage {
     /** Copies the components. */
-    public Ended {
+    public AttemptsEnded {
       reports = List.copyOf(reports);
     }
   }
 
   /**
-   * A request that no longer wants a place.
+   * Cancels a submitted request.
    *
    * @param service the service's name
-   * @param key its ask
+   * @param key the key of the placement request
    */
-  record Withdrawn(String service, PlacementKey key) implements LinkMessage {}
+  record RequestCancelled(String service, PlacementKey key) implements LinkMessage {}
 
   /**
-   * An ask that the sender does not decide, because it does not reach the store, or has not read
-   * the upstreams.
+   * Declines to decide on a submitted request, because the sender does not reach the store or has
+   * not read the upstreams.
    *
-   * @param key the ask
+   * @param key the key of the placement request
    */
-  record Unable(PlacementKey key) implements LinkMessage {}
+  record RequestDeclined(PlacementKey key) implements LinkMessage {}
 }
--- /dev/null
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LocalSchedulers.java
@@ -0,0 +1,210 @@
+package dev.cactusstack.gateway.scheduling;
+
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.Scheduler;
+import dev.cactusstack.decisions.placing.SchedulerSettings;
+import dev.cactusstack.gateway.control.UpstreamsController;
+import dev.cactusstack.gateway.observe.EventLine;
+import dev.cactusstack.gateway.observe.EventLog;
+import dev.cactusstack.model.site.UpstreamRegistration;
+import io.netty.channel.EventLoop;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+
+/**
+ * The schedulers of this host, one for each service that this or another host has requested.
+ * Confined to the event loop.
+ */
+public final class LocalSchedulers {
+  private static final long QUEUE_TICK_INTERVAL_MS = 20;
+  private static final long PROBE_INTERVAL_MS = 50;
+  private static final long PROBE_AFTER_REQUEST_MS = 1_000;
+
+  private final EventLoop loop;
+  private final LongSupplier clock;
+  private final EventLog log;
+  private final SchedulerSettings settings;
+  private final UpstreamsController upstreams;
+  private final UpstreamProber prober;
+  private final BooleanSupplier anotherHostReachesStore;
+  private final Map<String, Scheduler> schedulersByService = new HashMap<>();
+  private final Map<String, Long> lastRequestAtMs = new HashMap<>();
+  private Consumer<PlacementDecision> decisionListener = v -> {};
+  private boolean tickScheduled;
+  private boolean probeScheduled;
+
+  /**
+   * Creates an instance without schedulers; they are created on demand.
+   *
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs decisions
+   * @param settings settings of the schedulers
+   * @param upstreams tracks the upstreams
+   * @param prober probes the load of upstreams
+   * @param anotherHostReachesStore whether another host reaches the store
+   */
+  public LocalSchedulers(
+      EventLoop loop,
+      LongSupplier clock,
+      EventLog log,
+      SchedulerSettings settings,
+      UpstreamsController upstreams,
+      UpstreamProber prober,
+      BooleanSupplier anotherHostReachesStore) {
+    this.loop = loop;
+    this.clock = clock;
+    this.log = log;
+    this.settings = settings;
+    this.upstreams = upstreams;
+    this.prober = prober;
+    this.anotherHostReachesStore = anotherHostReachesStore;
+    upstreams.onChange(this::refreshUpstreams);
+  }
+
+  void onDecision(Consumer<PlacementDecision> listener) {
+    decisionListener = listener;
+  }
+
+  /** Decides on a request of this host, even if the upstreams are stale or unknown. */
+  void requestDecision(String service, PlacementRequest request) {
+    upstreams.runWhenFresh(() -> decide(service, request));
+  }
+
+  /**
+   * Decides on a request of another host. Declines it if the upstreams have never been read, or are
+   * stale while another host reaches the store.
+   */
+  void requestDecision(String service, PlacementRequest request, Runnable onDeclined) {
+    upstreams.runWhenFresh(
+        () -> {
+          boolean othersKnowMore = upstreams.isStale() && anotherHostReachesStore.getAsBoolean();
+          if (upstreams.isNeverRead() || othersKnowMore) {
+            onDeclined.run();
+          } else {
+            decide(service, request);
+          }
+        });
+  }
+
+  private void decide(String service, PlacementRequest request) {
+    long now = clock.getAsLong();
+    lastRequestAtMs.put(service, now);
+    publish(service, schedulerFor(service).submit(request, now));
+    scheduleTick();
+    scheduleProbe();
+  }
+
+  void report(String service, AttemptReport attempt) {
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler != null) {
+      publish(service, scheduler.report(attempt, clock.getAsLong()));
+    }
+  }
+
+  void cancelQueued(String service, PlacementKey key) {
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler != null) {
+      scheduler.cancel(key);
+    }
+  }
+
+  private Scheduler schedulerFor(String service) {
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler == null) {
+      scheduler = new Scheduler(settings);
+      schedulersByService.put(service, scheduler);
+      scheduler.updateUpstreams(
+          upstreams.serviceSettings(service),
+          upstreams.usableUpstreams(service),
+          clock.getAsLong());
+    }
+    return scheduler;
+  }
+
+  private void refreshUpstreams() {
+    long now = clock.getAsLong();
+    schedulersByService.forEach(
+        (service, scheduler) ->
+            scheduler.updateUpstreams(
+                upstreams.serviceSettings(service), upstreams.usableUpstreams(service), now));
+  }
+
+  private void publish(String service, List<PlacementDecision> decisions) {
+    decisions.forEach(decision -> logDecision(service, decision));
+    decisions.forEach(decisionListener);
+  }
+
+  private void logDecision(String service, PlacementDecision decision) {
+    EventLine line = log.event("decided").with("service", service);
+    line.with("asker", decision.key().hostHash()).with("ask", decision.key().sequenceNumber());
+    if (decision instanceof PlacementDecision.Placed placed) {
+      String load =
+          schedulerFor(service).describeUpstream(placed.upstream().id(), clock.getAsLong());
+      line.with("outcome", "placed").with("upstream", placed.upstream().id()).with("knew", load);
+    } else if (decision instanceof PlacementDecision.Rejected rejected) {
+      line.with("outcome", "turned-away").with("retry_ms", rejected.retryAfterMs());
+    } else {
+      line.with("outcome", "waits");
+    }
+    line.write();
+  }
+
+  private void scheduleProbe() {
+    if (!probeScheduled) {
+      probeScheduled = true;
+      loop.schedule(this::probe, PROBE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+  }
+
+  private void probe() {
+    probeScheduled = false;
+    long now = clock.getAsLong();
+    lastRequestAtMs
+        .values()
+        .removeIf(requestedAtMs -> now - requestedAtMs > PROBE_AFTER_REQUEST_MS);
+    for (String service : lastRequestAtMs.keySet()) {
+      Scheduler scheduler = schedulerFor(service);
+      String path = upstreams.serviceSettings(service).healthPath();
+      for (UpstreamRegistration target :
+          path.isEmpty() ? List.<UpstreamRegistration>of() : scheduler.selectProbeTargets(now)) {
+        prober.probe(
+            target,
+            path,
+            load ->
+                publish(
+                    service, scheduler.recordProbeResponse(target.id(), load, clock.getAsLong())));
+      }
+    }
+    if (!lastRequestAtMs.isEmpty()) {
+      scheduleProbe();
+    }
+  }
+
+  private void scheduleTick() {
+    if (!tickScheduled
+        && schedulersByService.values().stream().anyMatch(Scheduler::hasQueuedRequests)) {
+      tickScheduled = true;
+      loop.schedule(this::tick, QUEUE_TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+  }
+
+  private void tick() {
+    tickScheduled = false;
+    long now = clock.getAsLong();
+    for (Map.Entry<String, Scheduler> entry : List.copyOf(schedulersByService.entrySet())) {
+      if (entry.getValue().hasQueuedRequests()) {
+        publish(entry.getKey(), entry.getValue().tick(now));
+      }
+    }
+    scheduleTick();
+  }
+}
--- /dev/null
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/PlacementClient.java
@@ -0,0 +1,369 @@
+package dev.cactusstack.gateway.scheduling;
+
+import dev.cactusstack.decisions.gossip.PeerTable;
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.routing.SchedulerRanking;
+import dev.cactusstack.gateway.observe.EventLog;
+import dev.cactusstack.model.Address;
+import dev.cactusstack.model.site.HostRegistration;
+import io.netty.channel.EventLoop;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Requests the placement of each request from the host that schedules its service.
+ *
+ * <p>Hosts that agree on which hosts are alive also agree on the scheduling host. A placement
+ * request without a response is sent once more, because datagrams may be lost, and because two
+ * hosts that schedule the same service each know less than one would. A host that still does not
+ * respond is skipped for a while: the request goes to the next host in the ranking, and then to
+ * this host's own scheduler. Confined to the event loop.
+ */
+public final class PlacementClient {
+  private static final long RESEND_AFTER_MS = 35;
+  private static final long RESPONSE_TIMEOUT_MS = 50;
+  private static final long SUSPICION_MS = 1_000;
+  private static final int MAX_REMOTE_ATTEMPTS = 2;
+  private static final int REPEATED_REPORTS = 2;
+  private static final int RANKING_SIZE = 4;
+  private static final long RANKING_TTL_MS = 250;
+
+  private final EventLoop loop;
+  private final LongSupplier clock;
+  private final EventLog log;
+  private final Link link;
+  private final PeerTable peers;
+  private final LocalSchedulers schedulers;
+  private final int selfHash;
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Map<Long, Address> schedulerByRequest = new HashMap<>();
+  private final Map<Integer, Address> requesters = new HashMap<>();
+  private final Map<Address, Long> suspectedAtMs = new HashMap<>();
+  private final Map<Address, Deque<AttemptReport>> recentReports = new HashMap<>();
+  private final Map<String, Ranking> rankings = new HashMap<>();
+  private long lastSequenceNumber;
+
+  /**
+   * Creates a client without pending requests.
+   *
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs decisions
+   * @param link sends messages to other hosts
+   * @param peers tracks which hosts are alive
+   * @param schedulers this host's own schedulers
+   * @param hostName this host's name
+   * @param initialSequenceNumber the number before the first request, different each time the host
+   *     starts
+   */
+  public PlacementClient(
+      EventLoop loop,
+      LongSupplier clock,
+      EventLog log,
+      Link link,
+      PeerTable peers,
+      LocalSchedulers schedulers,
+      String hostName,
+      long initialSequenceNumber) {
+    this.loop = loop;
+    this.clock = clock;
+    this.log = log;
+    this.link = link;
+    this.peers = peers;
+    this.schedulers = schedulers;
+    this.selfHash = PeerTable.hash(hostName);
+    this.lastSequenceNumber = initialSequenceNumber;
+    schedulers.onDecision(this::handleLocalDecision);
+  }
+
+  /**
+   * Returns the key for a new placement request.
+   *
+   * @return a key that is unique in this site
+   */
+  public PlacementKey nextKey() {
+    return new PlacementKey(selfHash, ++lastSequenceNumber);
+  }
+
+  /**
+   * Requests a placement.
+   *
+   * @param service the service's name
+   * @param request the request
+   * @param callback receives the final decision, a placement or a rejection
+   */
+  public void requestPlacement(
+      String service, PlacementRequest request, Consumer<PlacementDecision> callback) {
+    askScheduler(new PendingRequest(service, request, callback));
+  }
+
+  /**
+   * Reports the outcome of an attempt.
+   *
+   * @param service the service's name
+   * @param attempt the report
+   */
+  public void report(String service, AttemptReport attempt) {
+    Address placingHost = schedulerByRequest.remove(attempt.key().sequenceNumber());
+    if (placingHost == null) {
+      schedulers.report(service, attempt);
+      return;
+    }
+    Deque<AttemptReport> previousReports =
+        recentReports.computeIfAbsent(placingHost, a -> new ArrayDeque<>());
+    List<AttemptReport> sentReports = new ArrayList<>();
+    sentReports.add(attempt);
+    sentReports.addAll(previousReports);
+    previousReports.addFirst(attempt);
+    while (previousReports.size() > REPEATED_REPORTS) {
+      previousReports.removeLast();
+    }
+    link.send(new LinkMessage.AttemptsEnded(service, sentReports), placingHost);
+  }
+
+  /**
+   * Cancels a pending placement request.
+   *
+   * @param key the key of the request
+   */
+  public void cancelPlacement(PlacementKey key) {
+    PendingRequest pendingRequest = pendingRequests.remove(key.sequenceNumber());
+    if (pendingRequest == null) {
+      return;
+    }
+    pendingRequest.stopTimer();
+    if (pendingRequest.scheduler == null) {
+      schedulers.cancelQueued(pendingRequest.service, key);
+    } else {
+      link.send(
+          new LinkMessage.RequestCancelled(pendingRequest.service, key), pendingRequest.scheduler);
+    }
+  }
+
+  /**
+   * Handles a message of another host.
+   *
+   * @param message the message
+   * @param from its sender
+   */
+  public void onMessage(LinkMessage message, Address from) {
+    if (message instanceof LinkMessage.RequestSubmitted submitted) {
+      requesters.put(submitted.request().key().hostHash(), from);
+      schedulers.requestDecision(
+          submitted.service(),
+          submitted.request(),
+          () -> link.send(new LinkMessage.RequestDeclined(keyOf(submitted)), from));
+    } else if (message instanceof LinkMessage.DecisionMade decided) {
+      suspectedAtMs.remove(from);
+      handleDecision(decided.decision(), from);
+    } else if (message instanceof LinkMessage.RequestDeclined declined) {
+      PendingRequest pendingRequest = pendingRequests.get(declined.key().sequenceNumber());
+      if (pendingRequest != null && from.equals(pendingRequest.scheduler)) {
+        skipScheduler(pendingRequest, from, "unable");
+      }
+    } else if (message instanceof LinkMessage.AttemptsEnded ended) {
+      ended.reports().forEach(attempt -> schedulers.report(ended.service(), attempt));
+    } else if (message instanceof LinkMessage.RequestCancelled cancelled) {
+      schedulers.cancelQueued(cancelled.service(), cancelled.key());
+    }
+  }
+
+  private static PlacementKey keyOf(LinkMessage.RequestSubmitted submitted) {
+    return submitted.request().key();
+  }
+
+  private void askScheduler(PendingRequest pendingRequest) {
+    Optional<Address> remoteScheduler =
+        pendingRequest.attempts < MAX_REMOTE_ATTEMPTS
+            ? findRemoteScheduler(pendingRequest)
+            : Optional.empty();
+    pendingRequest.attempts++;
+    pendingRequests.put(pendingRequest.request.key().sequenceNumber(), pendingRequest);
+    if (remoteScheduler.isEmpty()) {
+      pendingRequest.scheduler = null;
+      schedulers.requestDecision(pendingRequest.service, pendingRequest.request);
+      return;
+    }
+    pendingRequest.scheduler = remoteScheduler.get();
+    pendingRequest.resent = false;
+    sendRequest(pendingRequest, remoteScheduler.get(), RESEND_AFTER_MS);
+  }
+
+  private void sendRequest(PendingRequest pendingRequest, Address remoteScheduler, long timeoutMs) {
+    pendingRequest.startTimer(
+        loop.schedule(() -> onResponseTimeout(pendingRequest), timeoutMs, TimeUnit.MILLISECONDS));
+    link.send(
+        new LinkMessage.RequestSubmitted(pendingRequest.service, pendingRequest.request),
+        remoteScheduler);
+  }
+
+  /** Returns the host to send the request to, or empty if it is this host. */
+  private Optional<Address> findRemoteScheduler(PendingRequest pendingRequest) {
+    long now = clock.getAsLong();
+    for (HostRegistration host : rankSchedulers(pendingRequest.service, now)) {
+      Long suspectedSinceMs = suspectedAtMs.get(host.linkAddress());
+      if (suspectedSinceMs == null || now - suspectedSinceMs >= SUSPICION_MS) {
+        return PeerTable.hash(host.name()) == selfHash
+            ? Optional.empty()
+            : Optional.of(host.linkAddress());
+      }
+    }
+    return Optional.empty();
+  }
+
+  private List<HostRegistration> rankSchedulers(String service, long now) {
+    Ranking cached = rankings.get(service);
+    if (cached != null && now - cached.rankedAtMs < RANKING_TTL_MS) {
+      return cached.hosts;
+    }
+    List<HostRegistration> ranked =
+        SchedulerRanking.rank(service, peers.eligibleSchedulers(now), RANKING_SIZE);
+    rankings.put(service, new Ranking(ranked, now));
+    return ranked;
+  }
+
+  private void onResponseTimeout(PendingRequest pendingRequest) {
+    Address scheduler = pendingRequest.scheduler;
+    if (pendingRequests.get(pendingRequest.request.key().sequenceNumber()) != pendingRequest
+        || scheduler == null) {
+      return;
+    }
+    if (!pendingRequest.queued && !pendingRequest.resent) {
+      pendingRequest.resent = true;
+      sendRequest(pendingRequest, scheduler, RESPONSE_TIMEOUT_MS);
+      return;
+    }
+    link.send(
+        new LinkMessage.RequestCancelled(pendingRequest.service, pendingRequest.request.key()),
+        scheduler);
+    skipScheduler(pendingRequest, scheduler, "silent");
+  }
+
+  /** Sends the request to the next host, and no requests to the given host for a while. */
+  private void skipScheduler(PendingRequest pendingRequest, Address scheduler, String reason) {
+    pendingRequest.stopTimer();
+    suspectedAtMs.put(scheduler, clock.getAsLong());
+    log.event("scheduler_passed_over")
+        .with("why", reason)
+        .with("service", pendingRequest.service)
+        .with("asked", scheduler.toString())
+        .with("ask", pendingRequest.request.key().sequenceNumber())
+        .write();
+    if (pendingRequest.queued) {
+      complete(
+          pendingRequest,
+          new PlacementDecision.Rejected(pendingRequest.request.key(), RESPONSE_TIMEOUT_MS));
+    } else {
+      askScheduler(pendingRequest);
+    }
+  }
+
+  private void handleDecision(PlacementDecision placementDecision, Address from) {
+    PendingRequest pendingRequest = pendingRequests.get(placementDecision.key().sequenceNumber());
+    boolean expected = pendingRequest != null && from.equals(pendingRequest.scheduler);
+    if (pendingRequest == null || !expected) {
+      if (placementDecision instanceof PlacementDecision.Placed placed) {
+        returnPlacement(pendingRequest, placed, from);
+      }
+      return;
+    }
+    if (placementDecision instanceof PlacementDecision.Queued) {
+      pendingRequest.stopTimer();
+      pendingRequest.queued = true;
+      long waitMs = pendingRequest.request.deadlineRemainingMs();
+      pendingRequest.startTimer(
+          loop.schedule(() -> onResponseTimeout(pendingRequest), waitMs, TimeUnit.MILLISECONDS));
+      return;
+    }
+    if (placementDecision instanceof PlacementDecision.Placed) {
+      schedulerByRequest.put(placementDecision.key().sequenceNumber(), from);
+    }
+    complete(pendingRequest, placementDecision);
+  }
+
+  private void returnPlacement(
+      @Nullable PendingRequest pendingRequest,
+      PlacementDecision.Placed placementDecision,
+      Address from) {
+    if (from.equals(schedulerByRequest.get(placementDecision.key().sequenceNumber()))) {
+      return;
+    }
+    var unused =
+        new AttemptReport(
+            placementDecision.key(),
+            placementDecision.upstream().id(),
+            AttemptOutcome.UNUSED,
+            0,
+            Optional.empty());
+    String service =
+        pendingRequest != null ? pendingRequest.service : placementDecision.upstream().service();
+    link.send(new LinkMessage.AttemptsEnded(service, List.of(unused)), from);
+  }
+
+  /** Delivers a decision of this host's own schedulers. */
+  private void handleLocalDecision(PlacementDecision placementDecision) {
+    if (placementDecision.key().hostHash() != selfHash) {
+      Address requester = requesters.get(placementDecision.key().hostHash());
+      if (requester != null) {
+        link.send(new LinkMessage.DecisionMade(placementDecision), requester);
+      }
+      return;
+    }
+    PendingRequest pendingRequest = pendingRequests.get(placementDecision.key().sequenceNumber());
+    if (pendingRequest != null
+        && pendingRequest.scheduler == null
+        && !(placementDecision instanceof PlacementDecision.Queued)) {
+      complete(pendingRequest, placementDecision);
+    }
+  }
+
+  private void complete(PendingRequest pendingRequest, PlacementDecision placementDecision) {
+    pendingRequests.remove(pendingRequest.request.key().sequenceNumber());
+    pendingRequest.stopTimer();
+    pendingRequest.callback.accept(placementDecision);
+  }
+
+  private record Ranking(List<HostRegistration> hosts, long rankedAtMs) {}
+
+  private static final class PendingRequest {
+    private final String service;
+    private final PlacementRequest request;
+    private final Consumer<PlacementDecision> callback;
+    private int attempts;
+    private boolean resent;
+    private boolean queued;
+    private @Nullable Address scheduler;
+    private @Nullable Future<?> timer;
+
+    PendingRequest(String service, PlacementRequest request, Consumer<PlacementDecision> callback) {
+      this.service = service;
+      this.request = request;
+      this.callback = callback;
+    }
+
+    void startTimer(Future<?> newTimer) {
+      timer = newTimer;
+    }
+
+    void stopTimer() {
+      if (timer != null) {
+        timer.cancel(false);
+        timer = null;
+      }
+    }
+  }
+}
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/KnownConfiguration.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationSnapshot.java
@@ -6,12 +6,12 @@
 /**
  * A configuration with the revision of its newest change. Immutable and thread-safe.
  *
- * @param configuration all that operators say, as of its revision
- * @param changedAt the store's revision of the newest change in it
+ * @param configuration the full configuration as of its revision
+ * @param lastChangeRevision the store's revision of the newest change in it
  */
-public record KnownConfiguration(SiteConfiguration configuration, long changedAt) {
+public record ConfigurationSnapshot(SiteConfiguration configuration, long lastChangeRevision) {
   /** Checks the components. */
-  public KnownConfiguration {
+  public ConfigurationSnapshot {
     Objects.requireNonNull(configuration, "configuration is null");
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
@@ -5,16 +5,19 @@
 import java.util.Optional;
 
 /**
- * What the store says of upstreams. Immutable and thread-safe.
+ * A change of upstream registrations as read from the store. Immutable and thread-safe.
  *
- * @param revision the store's revision that this brings up to
- * @param complete whether this is everything, so that what isn't named isn't there
- * @param entries entries by identity; empty ones name no upstream
+ * @param revision the store's revision after this change
+ * @param fullSnapshot whether these are all registrations, so that an absent upstream does not
+ *     exist
+ * @param registrations registrations by upstream identity; empty if removed or not a valid upstream
  */
 public record UpstreamChange(
-    long revision, boolean complete, Map<String, Optional<UpstreamRegistration>> entries) {
+    long revision,
+    boolean fullSnapshot,
+    Map<String, Optional<UpstreamRegistration>> registrations) {
   /** Copies the components. */
   public UpstreamChange {
-    entries = Map.copyOf(entries);
+    registrations = Map.copyOf(registrations);
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/observe/FiguresTextTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/observe/PrometheusFormatTest.java
@@ -5,23 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class FiguresTextTest {
-  private final Figures figures = new Figures();
+class PrometheusFormatTest {
+  private final GatewayMetrics metrics = new GatewayMetrics();
 
   private String text() {
-    return new String(FiguresText.of(figures), StandardCharsets.UTF_8);
+    return new String(PrometheusFormat.format(metrics), StandardCharsets.UTF_8);
   }
 
   @Test
-  void shouldWriteCountersAndHistogramsOfEachRoute() {
-    RouteFigures r = figures.route("search");
-    r.answered(90);
-    r.answered(7_000);
-    r.sent(3);
-    r.attemptEnded("answered");
-    r.refused("no-room");
-    r.repeat(false);
-    figures.total("cactusstack_store_calls", "Calls of the store", () -> 12);
+  void shouldWriteCountersAndHistogramsWhenARouteHasTraffic() {
+    RouteMetrics routeMetrics = metrics.route("search");
+    routeMetrics.recordAnsweredRequest(90);
+    routeMetrics.recordAnsweredRequest(7_000);
+    routeMetrics.recordSentAttempt(3);
+    routeMetrics.recordAttemptOutcome("answered");
+    routeMetrics.recordRefusal("no-room");
+    routeMetrics.recordRetryDecision(false);
+    metrics.registerCounter("cactusstack_store_calls", "Calls of the store", () -> 12);
     assertThat(text())
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"0.1\"} 1")
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"+Inf\"} 2")
@@ -34,11 +34,11 @@
   }
 
   @Test
-  void shouldCountRoutesTogetherWhenThereAreTooMany() {
-    for (int i = 0; i < Figures.MOST_ROUTES + 50; i++) {
-      figures.route("r" + i).answered(1);
+  void shouldCountFurtherRoutesTogetherWhenThereAreTooMany() {
+    for (int i = 0; i < GatewayMetrics.MAX_ROUTES + 50; i++) {
+      metrics.route("r" + i).recordAnsweredRequest(1);
     }
-    assertThat(figures.routes()).hasSize(Figures.MOST_ROUTES + 1);
+    assertThat(metrics.routes()).hasSize(GatewayMetrics.MAX_ROUTES + 1);
     assertThat(text()).contains("cactusstack_request_seconds_count{route=\"other\"} 50");
   }
 }
