--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/Refusal.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Why the system answers a request itself. Thread-safe. */
+/** The reasons for which the host itself rejects or fails a request. Thread-safe. */
 public enum Refusal {
   /** The header section or the body can't be read. */
   MALFORMED(400, "the request can't be read", "send a well-formed HTTP/1.1 request"),
@@ -15,16 +15,19 @@
   BODY_TOO_LARGE(413, "the body is too large", "send a smaller body"),
   /** The header section is larger than operators allow. */
   HEADERS_TOO_LARGE(431, "the header section is too large", "send fewer header fields"),
-  /** What came from upstreams is no answer, and the request may have run. */
-  NO_ANSWER(502, "no whole answer came from an upstream", "find out whether the request ran"),
-  /** This host knows no configuration yet, or is stopping. */
-  NOT_READY(503, "this host is not ready", "ask for addresses again"),
+  /** No usable response came from an upstream, and the request may have been executed. */
+  NO_ANSWER(
+      502,
+      "no complete response came from an upstream",
+      "find out whether the request was executed"),
+  /** This host has no configuration yet, or is shutting down. */
+  NOT_READY(503, "this host is not ready", "resolve the host addresses again"),
   /** No upstream can run the request in time. */
-  NO_ROOM(503, "no upstream has room", "come back after the time given"),
-  /** Every upstream tried said that it did not run the request. */
-  NOT_RUN(503, "upstreams did not run the request", "come back after the time given"),
-  /** The time is over, and the request may have run. */
-  LATE(504, "no answer came in time", "find out whether the request ran");
+  NO_ROOM(503, "no upstream has a free slot in time", "retry after the time in Retry-After"),
+  /** Every upstream tried reported that it did not execute the request. */
+  NOT_RUN(503, "upstreams did not execute the request", "retry after the time in Retry-After"),
+  /** The deadline has passed, and the request may have been executed. */
+  LATE(504, "no response came in time", "find out whether the request was executed");
 
   private final int status;
   private final String title;
@@ -37,7 +40,7 @@
   }
 
   /**
-   * Returns the status of the answer.
+   * Returns the status of the response.
    *
    * @return an HTTP status
    */
@@ -46,7 +49,7 @@
   }
 
   /**
-   * Returns what is the matter.
+   * Returns the description of the problem.
    *
    * @return plain text without quotes
    */
@@ -55,7 +58,7 @@
   }
 
   /**
-   * Returns what the caller can do.
+   * Returns what the caller can do about it.
    *
    * @return plain text without quotes
    */
@@ -64,9 +67,9 @@
   }
 
   /**
-   * Returns the body of the answer.
+   * Returns the body of the response.
    *
-   * @return a JSON object as UTF-8
+   * @return a JSON object in UTF-8
    */
   byte[] body() {
     String json =
@@ -75,7 +78,7 @@
   }
 
   /**
-   * Returns the word for logs and answers.
+   * Returns the label for logs, metrics and responses.
    *
    * @return lower case with hyphens
    */
