--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -14,14 +14,14 @@
 import dev.cactusstack.gateway.net.ClientLimits;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.observe.Figures;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.scheduling.Prober;
-import dev.cactusstack.gateway.scheduling.Schedulers;
+import dev.cactusstack.gateway.scheduling.LocalSchedulers;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.scheduling.UpstreamProber;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.HostRegistration;
 import io.netty.channel.EventLoop;
@@ -67,7 +67,7 @@
   private final HostsController hosts;
   private final PeerTable peers;
   private final Link link;
-  private final Placement placement;
+  private final PlacementClient placement;
   private final HttpClient client;
   private final CallersPort callers;
   private final CallersPort readiness;
@@ -94,7 +94,7 @@
       EventLog log,
       Random random,
       SiteStore store,
-      UpstreamWire wire,
+      UpstreamHeaders wire,
       Function<Gateway, Endpoints> endpoints) {
     this.settings = settings;
     this.loop = loop;
@@ -103,15 +103,16 @@
     this.random = random;
     this.configuration =
         new ConfigurationController(loop, clock, log, store, this::readsConfiguration);
-    this.upstreams = new UpstreamsController(loop, clock, log, store, configuration::inForce);
+    this.upstreams =
+        new UpstreamsController(loop, clock, log, store, configuration::activeConfiguration);
     this.peers = new PeerTable(settings.host(), DEAD_AFTER_MS, random);
     this.link = new Link(loop, log);
     var self =
         new HostRegistration(
             settings.host(),
             settings.dataCentre(),
-            settings.callers(),
-            settings.link(),
+            settings.callersAddress(),
+            settings.linkAddress(),
             settings.milliCores(),
             0);
     this.hosts =
@@ -125,26 +126,26 @@
             configuration,
             self,
             random,
-            () -> !configuration.failing() && !upstreams.failing(),
-            () -> !upstreams.unread());
+            () -> !configuration.isStoreFailing() && !upstreams.isStoreFailing(),
+            () -> !upstreams.isNeverRead());
     GatewaySettings.Bounds b = settings.bounds();
-    var figures = new Figures();
+    var figures = new GatewayMetrics();
     var schedulerSettings =
         new SchedulerSettings(
             CROSS_DATA_CENTRE_MS,
             CROSS_DATA_CENTRE_MS_PER_KB,
             CONNECT_MS,
             COLD_SHARE,
-            b.coldFactor(),
-            b.coldSlack());
+            b.warmupRateFactor(),
+            b.warmupRateExtraPerSecond());
     this.client =
         new HttpClient(
             loop,
             new ClientLimits(CONNECT_TIMEOUT_MS, IDLE_CONNECTION_MS, false, MAX_ANSWER_BYTES),
             clock);
-    var prober = new Prober(client, wire);
+    var prober = new UpstreamProber(client, wire);
     var schedulers =
-        new Schedulers(
+        new LocalSchedulers(
             loop,
             clock,
             log,
@@ -153,7 +154,7 @@
             prober,
             () -> peers.anotherHostReachesStore(clock.getAsLong()));
     this.placement =
-        new Placement(
+        new PlacementClient(
             loop,
             clock,
             log,
@@ -164,9 +165,9 @@
             random.nextLong(FIRST_ASKS));
     var budget =
         new RequestTools.RepeatBudget(
-            b.repeatWindowMs(),
-            b.repeatRatio() * REPEAT_RATIO_SHARE,
-            () -> b.repeatAllowance() * REPEAT_ALLOWANCE_SHARE / peers.size());
+            b.retryWindowMs(),
+            b.retryRatio() * REPEAT_RATIO_SHARE,
+            () -> b.retryAllowance() * REPEAT_ALLOWANCE_SHARE / peers.size());
     var tools =
         new RequestTools(
             settings.dataCentre(), loop, clock, log, wire, client, placement, budget, figures);
@@ -178,13 +179,16 @@
     count(figures, store, prober);
   }
 
-  private void count(Figures f, SiteStore store, Prober prober) {
-    f.total("cactusstack_store_calls", "Calls of the store", store::calls);
-    f.total("cactusstack_store_failures", "Calls of the store without result", store::failedCalls);
-    f.total("cactusstack_upstream_connections", "Connections opened", client::opened);
-    f.total("cactusstack_upstream_probes", "Probes of upstreams", prober::sent);
-    f.total("cactusstack_link_messages", "Messages sent to other hosts", link::sent);
-    f.total("cactusstack_log_lines_dropped", "Log lines that were dropped", log::dropped);
+  private void count(GatewayMetrics f, SiteStore store, UpstreamProber prober) {
+    f.registerCounter("cactusstack_store_calls", "Calls of the store", store::callCount);
+    f.registerCounter(
+        "cactusstack_store_failures", "Calls of the store without result", store::failedCallCount);
+    f.registerCounter("cactusstack_upstream_connections", "Connections opened", client::opened);
+    f.registerCounter("cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
+    f.registerCounter(
+        "cactusstack_link_messages", "Messages sent to other hosts", link::sentMessageCount);
+    f.registerCounter(
+        "cactusstack_log_lines_dropped", "Log lines that were dropped", log::droppedLineCount);
   }
 
   /**
@@ -207,24 +211,24 @@
   public CompletableFuture<Void> start() {
     var opened = new CompletableFuture<Void>();
     callers
-        .open(settings.callers())
-        .addListener(f -> failIf(f.cause(), opened, settings.callers()));
+        .open(settings.callersAddress())
+        .addListener(f -> failIf(f.cause(), opened, settings.callersAddress()));
     readiness
-        .open(settings.readiness())
-        .addListener(f -> failIf(f.cause(), opened, settings.readiness()));
+        .open(settings.readinessAddress())
+        .addListener(f -> failIf(f.cause(), opened, settings.readinessAddress()));
     directory
-        .open(settings.directory())
-        .addListener(f -> failIf(f.cause(), opened, settings.directory()));
+        .open(settings.directoryAddress())
+        .addListener(f -> failIf(f.cause(), opened, settings.directoryAddress()));
     metrics
-        .open(settings.metrics())
-        .addListener(f -> failIf(f.cause(), opened, settings.metrics()));
-    link.open(settings.link(), this::received)
+        .open(settings.metricsAddress())
+        .addListener(f -> failIf(f.cause(), opened, settings.metricsAddress()));
+    link.open(settings.linkAddress(), this::received)
         .addListener(
             f -> {
-              failIf(f.cause(), opened, settings.link());
+              failIf(f.cause(), opened, settings.linkAddress());
               opened.complete(null);
             });
-    configuration.start(upstreams::configurationChanged, hosts::tellOfChange);
+    configuration.start(upstreams::onConfigurationChanged, hosts::announceConfiguration);
     hosts.start();
     loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     return opened;
@@ -241,19 +245,19 @@
   }
 
   private void received(LinkMessage m, Address from) {
-    if (m instanceof LinkMessage.Beat b) {
-      hosts.heard(b, from);
-    } else if (m instanceof LinkMessage.Rules r) {
-      configuration.told(r.known());
-    } else if (m instanceof LinkMessage.RulesWanted w) {
-      hosts.wanted(w, from);
+    if (m instanceof LinkMessage.Gossip b) {
+      hosts.onGossip(b, from);
+    } else if (m instanceof LinkMessage.ConfigurationUpdate r) {
+      configuration.onSnapshot(r.snapshot());
+    } else if (m instanceof LinkMessage.ConfigurationQuery w) {
+      hosts.onConfigurationQuery(w, from);
     } else {
-      placement.received(m, from);
+      placement.onMessage(m, from);
     }
   }
 
   private boolean readsConfiguration() {
-    return hosts.reads();
+    return hosts.isConfigurationReader();
   }
 
   private void sweep() {
@@ -269,8 +273,8 @@
    *
    * @return false before a configuration is known and once the host leaves
    */
-  public boolean ready() {
-    return !leaving && configuration.inForce().isPresent();
+  public boolean isReady() {
+    return !leaving && configuration.activeConfiguration().isPresent();
   }
 
   /**
@@ -279,7 +283,7 @@
    * @param dataCentre the caller's data centre
    * @return where to connect, never empty while this host is ready
    */
-  public List<Address> addresses(String dataCentre) {
+  public List<Address> callerAddresses(String dataCentre) {
     return new DirectoryPolicy(ENOUGH_HOSTS, MOST_HOSTS)
         .choose(peers.usableHosts(clock.getAsLong()), dataCentre, random).stream()
             .map(HostRegistration::callerAddress)
@@ -292,14 +296,14 @@
    *
    * @return completes when the process can end
    */
-  public CompletableFuture<Void> leave() {
+  public CompletableFuture<Void> drain() {
     var left = new CompletableFuture<Void>();
     if (leaving) {
       return left;
     }
     leaving = true;
     log.event("leaving").with("in_flight", callers.inFlight()).write();
-    hosts.leave();
+    hosts.announceLeaving();
     callers.lastAnswers();
     loop.schedule(callers::stopListening, ACCEPT_WHILE_LEAVING_MS, TimeUnit.MILLISECONDS);
     long startMs = clock.getAsLong();
@@ -314,7 +318,7 @@
       callers.closeQuiet();
     }
     boolean quiet = !accepting && callers.inFlight() == 0;
-    if (quiet || passed > settings.bounds().graceMs() - EXIT_MARGIN_MS) {
+    if (quiet || passed > settings.bounds().terminationGraceMs() - EXIT_MARGIN_MS) {
       log.event("left").with("in_flight", callers.inFlight()).with("after_ms", passed).write();
       left.complete(null);
       return;
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.decisions.placing.AttemptOutcome;
 import dev.cactusstack.gateway.net.Reply;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import java.util.Set;
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param wire header fields
  */
-record ReplyJudge(UpstreamWire wire) {
+record ReplyJudge(UpstreamHeaders wire) {
   private static final int MISDIRECTED = 421;
   private static final int SERVER_ERROR = 500;
   private static final int SUCCESS = 200;
@@ -28,11 +28,11 @@
     if (!(reply instanceof Reply.Answer r)) {
       return AttemptOutcome.TIMED_OUT;
     }
-    if (wire.notRun(r.status(), r.headers())) {
+    if (wire.reportsNotRun(r.status(), r.headers())) {
       return r.status() == MISDIRECTED ? AttemptOutcome.WRONG_INSTANCE : AttemptOutcome.REFUSED;
     }
     boolean success = r.status() >= SUCCESS && r.status() < REDIRECT;
-    if (success && !wire.signed(r.headers())) {
+    if (success && !wire.isSigned(r.headers())) {
       return AttemptOutcome.BROKEN;
     }
     return r.status() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
@@ -40,7 +40,7 @@
 
   /** Tells whether an upstream's own failure can be passed on without promising too much. */
   boolean passable(Reply.Answer r) {
-    return wire.signed(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
+    return wire.isSigned(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
   }
 
   /** Says for a log line why a reply is no good answer. */
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestRun.java
@@ -11,7 +11,7 @@
 import dev.cactusstack.gateway.net.Outgoing;
 import dev.cactusstack.gateway.net.Reply;
 import dev.cactusstack.gateway.observe.EventLine;
-import dev.cactusstack.gateway.observe.RouteFigures;
+import dev.cactusstack.gateway.observe.RouteMetrics;
 import dev.cactusstack.model.site.RouteRule;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -89,7 +89,7 @@
       return;
     }
     event("cancelled").with("attempts", sends).write();
-    figures().refused("cancelled");
+    figures().recordRefusal("cancelled");
     done = true;
     stopTimers();
     withdraw();
@@ -113,7 +113,7 @@
             request.body().length,
             spare,
             tried);
-    tools.placement().place(service, ask, v -> decided(v, spare));
+    tools.placement().requestPlacement(service, ask, v -> decided(v, spare));
   }
 
   private void decided(PlacementDecision v, boolean spare) {
@@ -153,7 +153,7 @@
 
   private boolean mayRepeat() {
     boolean allowed = tools.mayRepeat(service);
-    figures().repeat(allowed);
+    figures().recordRetryDecision(allowed);
     return allowed;
   }
 
@@ -162,10 +162,10 @@
     sends++;
     tried.add(u.id());
     HttpHeaders headers = ForwardedFields.of(request.headers());
-    tools.wire().address(headers, left(), u.id());
+    tools.wire().addUpstreamHeaders(headers, left(), u.id());
     var attempt = new Attempt(p.key(), u, now());
     running.add(attempt);
-    figures().sent(now() - request.arrivedMs());
+    figures().recordSentAttempt(now() - request.arrivedMs());
     event("sent")
         .with("upstream", u.id())
         .with("address", u.address().toString())
@@ -192,7 +192,11 @@
   }
 
   private boolean mine(HttpHeaders h) {
-    return tools.wire().requestId(h).map(id::equals).orElseGet(() -> tools.wire().notRun(0, h));
+    return tools
+        .wire()
+        .requestId(h)
+        .map(id::equals)
+        .orElseGet(() -> tools.wire().reportsNotRun(0, h));
   }
 
   private long hedgeAfter() {
@@ -211,10 +215,10 @@
   private void ended(Attempt a, Reply reply) {
     running.remove(a);
     Optional<ReportedLoad> load =
-        reply instanceof Reply.Answer r ? tools.wire().load(r.headers()) : Optional.empty();
+        reply instanceof Reply.Answer r ? tools.wire().reportedLoad(r.headers()) : Optional.empty();
     AttemptOutcome end = tools.judge().end(reply);
     report(a.key, a.upstream, end, now() - a.sinceMs, load);
-    figures().attemptEnded(end.label());
+    figures().recordAttemptOutcome(end.label());
     if (reply instanceof Reply.Broken && now() - a.sinceMs <= AT_ONCE_MS && a.exchange != null) {
       tools.rest(service).recordReset(a.exchange.restedMs(), now());
     }
@@ -265,11 +269,13 @@
 
   private void deliver(Reply.Answer r, UpstreamRegistration by) {
     finish();
-    figures().answered(now() - request.arrivedMs());
+    figures().recordAnsweredRequest(now() - request.arrivedMs());
     event("answered")
         .with("status", r.status())
         .with("upstream", by.id())
-        .with("load", tools.wire().load(r.headers()).map(ReportedLoad::toString).orElse("untold"))
+        .with(
+            "load",
+            tools.wire().reportedLoad(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
         .with("took_ms", now() - request.arrivedMs())
         .write();
@@ -291,12 +297,12 @@
     finish();
     if (lastFailure instanceof Reply.Answer r && mayHaveRun && tools.judge().passable(r)) {
       event("answered").with("status", r.status()).with("attempts", sends).write();
-      figures().answered(now() - request.arrivedMs());
+      figures().recordAnsweredRequest(now() - request.arrivedMs());
       answer.accept(new CallerAnswer(r.status(), ForwardedFields.of(r.headers()), r.body()));
       return;
     }
     Refusal told = told(why);
-    figures().refused(told.label());
+    figures().recordRefusal(told.label());
     event("refused")
         .with("why", told.label())
         .with("attempts", sends)
@@ -304,7 +310,7 @@
         .with("retry_ms", retryAfterMs)
         .write();
     CallerAnswer a = CallerAnswer.problem(told);
-    tools.wire().identify(a.headers(), id);
+    tools.wire().setRequestId(a.headers(), id);
     answer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
   }
 
@@ -335,7 +341,7 @@
 
   private void withdraw() {
     if (asking != null) {
-      tools.placement().withdraw(asking);
+      tools.placement().cancelPlacement(asking);
       asking = null;
     }
   }
@@ -358,7 +364,7 @@
     tools.placement().report(service, new AttemptReport(key, u.id(), end, tookMs, load));
   }
 
-  private RouteFigures figures() {
+  private RouteMetrics figures() {
     return tools.figures().route(route.name());
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
@@ -7,9 +7,9 @@
 import dev.cactusstack.decisions.retries.RetryWindow;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.observe.Figures;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.Map;
@@ -39,16 +39,16 @@
     EventLoop loop,
     LongSupplier clock,
     EventLog log,
-    UpstreamWire wire,
+    UpstreamHeaders wire,
     HttpClient client,
-    Placement placement,
+    PlacementClient placement,
     WeightedRoundRobin parts,
     Map<String, RetryWindow> repeats,
     Map<String, IdleReuseLimit> rests,
     ProcessingTimes workTimes,
     CallerElapsedTime patience,
     RepeatBudget repeatBudget,
-    Figures figures) {
+    GatewayMetrics figures) {
 
   /**
    * Creates tools with no history.
@@ -68,11 +68,11 @@
       EventLoop loop,
       LongSupplier clock,
       EventLog log,
-      UpstreamWire wire,
+      UpstreamHeaders wire,
       HttpClient client,
-      Placement placement,
+      PlacementClient placement,
       RepeatBudget repeatBudget,
-      Figures figures) {
+      GatewayMetrics figures) {
     this(
         dataCentre,
         loop,
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ServeFilter.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ServeFilter.java
@@ -30,11 +30,11 @@
     if (id.isEmpty()) {
       return refuse(request, "", Refusal.NO_ID, answer);
     }
-    if (configuration.inForce().isEmpty()) {
+    if (configuration.activeConfiguration().isEmpty()) {
       return refuse(request, id.get(), Refusal.NOT_READY, answer);
     }
     String host = request.headers().get(HttpHeaderNames.HOST, "");
-    Optional<RouteRule> route = configuration.routes().match(host, request.target());
+    Optional<RouteRule> route = configuration.routeMatcher().match(host, request.target());
     if (route.isEmpty()) {
       return refuse(request, id.get(), Refusal.NO_ROUTE, answer);
     }
@@ -51,11 +51,11 @@
         .with("id", id.isEmpty() ? "none" : id)
         .with("why", why.label())
         .with("target", request.target())
-        .with("version", configuration.inForce().map(c -> c.version()).orElse(0L))
+        .with("version", configuration.activeConfiguration().map(c -> c.version()).orElse(0L))
         .write();
     CallerAnswer a = CallerAnswer.problem(why);
     if (!id.isEmpty()) {
-      tools.wire().identify(a.headers(), id);
+      tools.wire().setRequestId(a.headers(), id);
     }
     answer.accept(why == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
     return Optional.of(Running.NOTHING);
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
@@ -3,9 +3,9 @@
 import dev.cactusstack.decisions.matching.RouteMatcher;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.ConfigurationChange;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.SiteConfiguration;
 import io.netty.channel.EventLoop;
@@ -43,15 +43,15 @@
   private final SiteStore store;
   private final BooleanSupplier reader;
   private Runnable changed = () -> {};
-  private Consumer<KnownConfiguration> news = k -> {};
-  private @Nullable SiteConfiguration inForce;
-  private RouteMatcher routes = new RouteMatcher(List.of());
+  private Consumer<ConfigurationSnapshot> news = k -> {};
+  private @Nullable SiteConfiguration activeConfiguration;
+  private RouteMatcher routeMatcher = new RouteMatcher(List.of());
   private boolean whole;
   private boolean resting;
   private boolean rereading;
-  private boolean failing;
+  private boolean isStoreFailing;
   private long sinceMs;
-  private long changedAt;
+  private long lastChangeRevision;
   private long cursor;
 
   /**
@@ -78,7 +78,7 @@
    * @param listener runs after each change, on the event loop
    * @param teller receives each change that other hosts may not have heard of
    */
-  public void start(Runnable listener, Consumer<KnownConfiguration> teller) {
+  public void start(Runnable listener, Consumer<ConfigurationSnapshot> teller) {
     changed = listener;
     news = teller;
     follow();
@@ -89,8 +89,8 @@
    *
    * @return the configuration, or nothing before one is known
    */
-  public Optional<SiteConfiguration> inForce() {
-    return Optional.ofNullable(inForce);
+  public Optional<SiteConfiguration> activeConfiguration() {
+    return Optional.ofNullable(activeConfiguration);
   }
 
   /**
@@ -98,8 +98,8 @@
    *
    * @return the routes, none before a configuration is known
    */
-  public RouteMatcher routes() {
-    return routes;
+  public RouteMatcher routeMatcher() {
+    return routeMatcher;
   }
 
   /**
@@ -108,7 +108,7 @@
    * @return bounds
    */
   public CallerLimits limits() {
-    return inForce == null ? CallerLimits.DEFAULT : inForce.limits();
+    return activeConfiguration == null ? CallerLimits.DEFAULT : activeConfiguration.limits();
   }
 
   /**
@@ -116,8 +116,8 @@
    *
    * @return the store's revision of the change, 0 before one is known
    */
-  public long changedAt() {
-    return changedAt;
+  public long lastChangeRevision() {
+    return lastChangeRevision;
   }
 
   /**
@@ -125,12 +125,12 @@
    *
    * @return true from a failed call until the next that succeeds
    */
-  public boolean failing() {
-    return failing;
+  public boolean isStoreFailing() {
+    return isStoreFailing;
   }
 
   /** Follows the store again, if this host has become a reader. */
-  public void roleMayHaveChanged() {
+  public void updateReaderRole() {
     if (resting && reader.getAsBoolean()) {
       resting = false;
       // Changes may have been missed since the last look, so everything is read before a watch.
@@ -145,8 +145,8 @@
    *
    * @return the configuration, or nothing before one is known
    */
-  public Optional<KnownConfiguration> known() {
-    return inForce().map(c -> new KnownConfiguration(c, changedAt));
+  public Optional<ConfigurationSnapshot> snapshot() {
+    return activeConfiguration().map(c -> new ConfigurationSnapshot(c, lastChangeRevision));
   }
 
   /**
@@ -154,17 +154,18 @@
    *
    * @param k the configuration
    */
-  public void told(KnownConfiguration k) {
+  public void onSnapshot(ConfigurationSnapshot k) {
     SiteConfiguration c = k.configuration();
-    if (inForce != null && c.version() < inForce.version()) {
+    if (activeConfiguration != null && c.version() < activeConfiguration.version()) {
       return;
     }
     Map<String, Boolean> evacuations = new HashMap<>();
     c.evacuated().forEach(dataCentre -> evacuations.put(dataCentre, true));
-    var rules = new ConfigurationChange.Rules(c.version(), c.routes(), c.services(), c.limits());
+    var rules =
+        new ConfigurationChange.RoutingRules(c.version(), c.routes(), c.services(), c.limits());
     apply(
         new ConfigurationChange(
-            c.revision(), k.changedAt(), true, Optional.of(rules), evacuations));
+            c.revision(), k.lastChangeRevision(), true, Optional.of(rules), evacuations));
   }
 
   /**
@@ -174,16 +175,16 @@
    * @param revision the store's revision of the change
    * @param ask asks that host for its configuration, given the revision that this one knows
    */
-  public void heardOf(long revision, LongConsumer ask) {
+  public void onRevisionAnnounced(long revision, LongConsumer ask) {
     if (!rereading && behind(revision)) {
       rereading = true;
-      ask.accept(inForce == null ? 0 : inForce.revision());
+      ask.accept(activeConfiguration == null ? 0 : activeConfiguration.revision());
       loop.schedule(() -> readIfBehind(revision), WATCH_PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private boolean behind(long revision) {
-    return inForce == null || inForce.revision() < revision;
+    return activeConfiguration == null || activeConfiguration.revision() < revision;
   }
 
   private void readIfBehind(long revision) {
@@ -224,7 +225,7 @@
   private void take(ConfigurationChange change) {
     cursor = change.revision();
     // The first configuration is read whole, so that nothing that was there before it is missed.
-    whole = change.complete() || inForce != null;
+    whole = change.fullSnapshot() || activeConfiguration != null;
     if (whole) {
       apply(change);
     }
@@ -236,8 +237,8 @@
   }
 
   private void recovered() {
-    if (failing) {
-      failing = false;
+    if (isStoreFailing) {
+      isStoreFailing = false;
       log.event("store_regained").with("after_ms", clock.getAsLong() - sinceMs).write();
     }
   }
@@ -246,13 +247,14 @@
     // A watch that ended may have missed changes and, set up again, may not tell them: read all.
     boolean watching = whole;
     whole = false;
-    if (failure instanceof StoreFailure f && f.kind() == StoreFailure.Kind.HISTORY_GONE) {
+    if (failure instanceof StoreException f
+        && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       log.event("configuration_history_gone").write();
       follow();
       return;
     }
-    if (!failing) {
-      failing = true;
+    if (!isStoreFailing) {
+      isStoreFailing = true;
       sinceMs = clock.getAsLong();
       log.event("store_lost").with("cause", String.valueOf(failure.getMessage())).write();
     }
@@ -264,13 +266,13 @@
   }
 
   private void apply(ConfigurationChange change) {
-    SiteConfiguration old = inForce;
+    SiteConfiguration old = activeConfiguration;
     if (old != null && change.revision() <= old.revision()) {
       return;
     }
-    changedAt = Math.max(changedAt, change.changedAt());
+    lastChangeRevision = Math.max(lastChangeRevision, change.lastChangeRevision());
     Set<String> evacuated = new HashSet<>();
-    if (old != null && !change.complete()) {
+    if (old != null && !change.fullSnapshot()) {
       evacuated.addAll(old.evacuated());
     }
     change
@@ -287,11 +289,11 @@
     if (next == null) {
       return;
     }
-    inForce = next;
+    activeConfiguration = next;
     cursor = Math.max(cursor, next.revision());
     boolean newRules = old == null || old.version() != next.version();
     if (newRules) {
-      routes = new RouteMatcher(next.routes());
+      routeMatcher = new RouteMatcher(next.routes());
     }
     if (old == null || newRules || !old.evacuated().equals(evacuated)) {
       log.event("configuration")
@@ -301,8 +303,8 @@
           .write();
       changed.run();
     }
-    if (old != null || !change.complete()) {
-      news.accept(new KnownConfiguration(next, changedAt));
+    if (old != null || !change.fullSnapshot()) {
+      news.accept(new ConfigurationSnapshot(next, lastChangeRevision));
     }
   }
 
@@ -310,7 +312,7 @@
       @Nullable SiteConfiguration old, ConfigurationChange change, Set<String> evacuated) {
     if (change.rules().isPresent()
         && (old == null || change.rules().get().version() > old.version())) {
-      ConfigurationChange.Rules r = change.rules().get();
+      ConfigurationChange.RoutingRules r = change.rules().get();
       return new SiteConfiguration(
           change.revision(), r.version(), r.routes(), r.services(), r.limits(), evacuated);
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
@@ -6,7 +6,7 @@
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.HostRegistration;
@@ -93,7 +93,7 @@
     startedMs = clock.getAsLong();
     peers.recordStart(self, startedMs);
     register();
-    loop.schedule(configuration::roleMayHaveChanged, SETTLE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(configuration::updateReaderRole, SETTLE_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -102,7 +102,7 @@
    *
    * @return true for a reader, and for a host that other hosts can't tell of changes
    */
-  public boolean reads() {
+  public boolean isConfigurationReader() {
     long now = clock.getAsLong();
     if (now - startedMs < SETTLE_MS) {
       return false;
@@ -115,8 +115,8 @@
    *
    * @param known the configuration with the change
    */
-  public void tellOfChange(KnownConfiguration known) {
-    var message = new LinkMessage.Rules(known);
+  public void announceConfiguration(ConfigurationSnapshot known) {
+    var message = new LinkMessage.ConfigurationUpdate(known);
     peers
         .localTargets(TOLD_OF_CHANGE, clock.getAsLong())
         .forEach(e -> link.send(message, e.linkAddress()));
@@ -128,11 +128,11 @@
    * @param wanted the message
    * @param from its sender
    */
-  public void wanted(LinkMessage.RulesWanted wanted, Address from) {
+  public void onConfigurationQuery(LinkMessage.ConfigurationQuery wanted, Address from) {
     configuration
-        .known()
-        .filter(k -> k.configuration().revision() > wanted.after())
-        .ifPresent(k -> link.send(new LinkMessage.Rules(k), from));
+        .snapshot()
+        .filter(k -> k.configuration().revision() > wanted.knownRevision())
+        .ifPresent(k -> link.send(new LinkMessage.ConfigurationUpdate(k), from));
   }
 
   private void register() {
@@ -161,7 +161,7 @@
   }
 
   /** Tells other hosts that this one gets no new callers. */
-  public void leave() {
+  public void announceLeaving() {
     peers.markLeaving();
     tell(TOLD_WHEN_LEAVING);
   }
@@ -172,9 +172,9 @@
    * @param beat the message
    * @param from its sender
    */
-  public void heard(LinkMessage.Beat beat, Address from) {
+  public void onGossip(LinkMessage.Gossip beat, Address from) {
     long now = clock.getAsLong();
-    for (HostRegistration e : beat.news()) {
+    for (HostRegistration e : beat.recentlyStarted()) {
       if (peers.recordStart(e, now)) {
         log.event("host")
             .with("name", e.name())
@@ -183,13 +183,14 @@
             .write();
       }
     }
-    peers.mergeHeartbeats(beat.pulses(), now);
-    configuration.heardOf(
-        beat.configurationRevision(), after -> link.send(new LinkMessage.RulesWanted(after), from));
+    peers.mergeHeartbeats(beat.heartbeats(), now);
+    configuration.onRevisionAnnounced(
+        beat.configurationRevision(),
+        after -> link.send(new LinkMessage.ConfigurationQuery(after), from));
   }
 
   private void round() {
-    configuration.roleMayHaveChanged();
+    configuration.updateReaderRole();
     tell(TOLD_EACH_ROUND);
   }
 
@@ -202,8 +203,10 @@
       pulses = pulses.subList(0, MOST_PULSES);
     }
     var beat =
-        new LinkMessage.Beat(
-            configuration.changedAt(), peers.recentlyStarted(NEWS_MS, MOST_NEWS, now), pulses);
+        new LinkMessage.Gossip(
+            configuration.lastChangeRevision(),
+            peers.recentlyStarted(NEWS_MS, MOST_NEWS, now),
+            pulses);
     peers.gossipTargets(count, now).forEach(e -> link.send(beat, e.linkAddress()));
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.site.ServiceSettings;
 import dev.cactusstack.model.site.SiteConfiguration;
@@ -82,7 +82,7 @@
   }
 
   /** Tells that the configuration in force has changed. */
-  public void configurationChanged() {
+  public void onConfigurationChanged() {
     changed.run();
   }
 
@@ -91,7 +91,7 @@
    *
    * @param task what to run
    */
-  public void whenFresh(Runnable task) {
+  public void runWhenFresh(Runnable task) {
     long now = clock.getAsLong();
     usedAtMs = now;
     if (now - readAtMs < FRESH_MS || now - failedAtMs < FRESH_MS) {
@@ -111,7 +111,7 @@
    *
    * @return true when the entries could not be read lately
    */
-  public boolean stale() {
+  public boolean isStale() {
     return clock.getAsLong() - readAtMs > STALE_MS;
   }
 
@@ -120,7 +120,7 @@
    *
    * @return true until the entries are read for the first time
    */
-  public boolean unread() {
+  public boolean isNeverRead() {
     return readAtMs == NEVER;
   }
 
@@ -129,7 +129,7 @@
    *
    * @return true until a read succeeds
    */
-  public boolean failing() {
+  public boolean isStoreFailing() {
     return failedAtMs > readAtMs;
   }
 
@@ -139,7 +139,7 @@
    * @param service the service's name
    * @return their entries, with how long each is cold from now
    */
-  public List<UpstreamRegistration> usable(String service) {
+  public List<UpstreamRegistration> usableUpstreams(String service) {
     long now = clock.getAsLong();
     List<UpstreamRegistration> out = new ArrayList<>();
     for (Known k : known.values()) {
@@ -157,7 +157,7 @@
    * @param service the service's name
    * @return the rule; one for a service without cold upstreams if operators say nothing
    */
-  public ServiceSettings rule(String service) {
+  public ServiceSettings serviceSettings(String service) {
     return configuration
         .get()
         .map(c -> c.services().get(service))
@@ -201,7 +201,7 @@
     }
     reading = true;
     CompletableFuture<UpstreamChange> call =
-        revision < 0 ? store.readUpstreams() : store.changedUpstreams(revision);
+        revision < 0 ? store.readUpstreams() : store.readUpstreamChanges(revision);
     call.whenComplete(
         (change, failure) -> {
           reading = false;
@@ -215,7 +215,8 @@
   }
 
   private void failed(Throwable failure) {
-    if (failure instanceof StoreFailure f && f.kind() == StoreFailure.Kind.HISTORY_GONE) {
+    if (failure instanceof StoreException f
+        && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       revision = -1;
       read();
       return;
@@ -244,11 +245,11 @@
     revision = change.revision();
     readAtMs = now;
     change
-        .entries()
+        .registrations()
         .forEach((id, e) -> e.ifPresentOrElse(x -> announced(x, now), () -> missing(id, now)));
-    if (change.complete()) {
+    if (change.fullSnapshot()) {
       for (String id : List.copyOf(known.keySet())) {
-        if (!change.entries().containsKey(id)) {
+        if (!change.registrations().containsKey(id)) {
           missing(id, now);
         }
       }
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
@@ -23,7 +23,7 @@
 
   private final RingBuffer<Slot> ring = RingBuffer.createMultiProducer(Slot::new, RING_LINES);
   private final EventPoller<Slot> poller = ring.newPoller();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong droppedLineCount = new AtomicLong();
   private final OutputStream out;
   private final StringBuilder batch = new StringBuilder();
   private volatile long droppedEver;
@@ -67,7 +67,7 @@
    *
    * @return the count, as of the last time that lines were written
    */
-  public long dropped() {
+  public long droppedLineCount() {
     return droppedEver;
   }
 
@@ -75,7 +75,7 @@
   void offer(String line) {
     long time = System.currentTimeMillis();
     if (!ring.tryPublishEvent((slot, sequence) -> slot.set(time, line))) {
-      dropped.incrementAndGet();
+      droppedLineCount.incrementAndGet();
     }
   }
 
@@ -83,7 +83,7 @@
   public synchronized void flush() {
     try {
       poller.poll(this::append);
-      long lost = dropped.getAndSet(0);
+      long lost = droppedLineCount.getAndSet(0);
       droppedEver += lost;
       if (lost > 0) {
         batch
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.RequestKind;
 import dev.cactusstack.model.site.RouteRule;
@@ -20,9 +20,9 @@
 final class ConfigurationCodec {
   private ConfigurationCodec() {}
 
-  static void write(CodedOutputStream out, KnownConfiguration known) throws IOException {
+  static void write(CodedOutputStream out, ConfigurationSnapshot known) throws IOException {
     SiteConfiguration c = known.configuration();
-    out.writeUInt64NoTag(known.changedAt());
+    out.writeUInt64NoTag(known.lastChangeRevision());
     out.writeUInt64NoTag(c.revision());
     out.writeUInt64NoTag(c.version());
     out.writeUInt32NoTag(c.routes().size());
@@ -43,7 +43,7 @@
     }
   }
 
-  static KnownConfiguration read(CodedInputStream in) throws IOException {
+  static ConfigurationSnapshot read(CodedInputStream in) throws IOException {
     long changedAt = in.readUInt64();
     long revision = in.readUInt64();
     long version = in.readUInt64();
@@ -62,7 +62,7 @@
     for (int n = LinkCodec.count(in); n > 0; n--) {
       evacuated.add(in.readString());
     }
-    return new KnownConfiguration(
+    return new ConfigurationSnapshot(
         new SiteConfiguration(revision, version, routes, services, limits, evacuated), changedAt);
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
@@ -26,7 +26,7 @@
   private final EventLoop loop;
   private final EventLog log;
   private @Nullable Channel channel;
-  private long sent;
+  private long sentMessageCount;
 
   /**
    * Creates a link that is not open.
@@ -75,7 +75,7 @@
             .write();
         return;
       }
-      sent++;
+      sentMessageCount++;
       var receiver = new InetSocketAddress(to.ip(), to.port());
       ch.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), receiver));
     }
@@ -86,8 +86,8 @@
    *
    * @return the count
    */
-  public long sent() {
-    return sent;
+  public long sentMessageCount() {
+    return sentMessageCount;
   }
 
   /** Decodes datagrams. Confined to the event loop. */
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
@@ -70,32 +70,32 @@
   }
 
   private static void write(CodedOutputStream out, LinkMessage m) throws IOException {
-    if (m instanceof LinkMessage.Beat b) {
+    if (m instanceof LinkMessage.Gossip b) {
       out.writeUInt32NoTag(Type.BEAT.ordinal());
       writeBeat(out, b);
-    } else if (m instanceof LinkMessage.Asked a) {
+    } else if (m instanceof LinkMessage.RequestSubmitted a) {
       out.writeUInt32NoTag(Type.ASKED.ordinal());
       out.writeStringNoTag(a.service());
-      writeAsk(out, a.ask());
-    } else if (m instanceof LinkMessage.Decided d) {
+      writeAsk(out, a.request());
+    } else if (m instanceof LinkMessage.DecisionMade d) {
       out.writeUInt32NoTag(Type.DECIDED.ordinal());
-      writeVerdict(out, d.verdict());
-    } else if (m instanceof LinkMessage.Ended e) {
+      writeVerdict(out, d.decision());
+    } else if (m instanceof LinkMessage.AttemptsEnded e) {
       out.writeUInt32NoTag(Type.ENDED.ordinal());
       writeEnded(out, e);
-    } else if (m instanceof LinkMessage.Withdrawn w) {
+    } else if (m instanceof LinkMessage.RequestCancelled w) {
       out.writeUInt32NoTag(Type.WITHDRAWN.ordinal());
       out.writeStringNoTag(w.service());
       writeKey(out, w.key());
-    } else if (m instanceof LinkMessage.Unable u) {
+    } else if (m instanceof LinkMessage.RequestDeclined u) {
       out.writeUInt32NoTag(Type.UNABLE.ordinal());
       writeKey(out, u.key());
-    } else if (m instanceof LinkMessage.Rules r) {
+    } else if (m instanceof LinkMessage.ConfigurationUpdate r) {
       out.writeUInt32NoTag(Type.RULES.ordinal());
-      ConfigurationCodec.write(out, r.known());
-    } else if (m instanceof LinkMessage.RulesWanted w) {
+      ConfigurationCodec.write(out, r.snapshot());
+    } else if (m instanceof LinkMessage.ConfigurationQuery w) {
       out.writeUInt32NoTag(Type.RULES_WANTED.ordinal());
-      out.writeUInt64NoTag(w.after());
+      out.writeUInt64NoTag(w.knownRevision());
     }
   }
 
@@ -110,13 +110,13 @@
     ASKED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Asked(in.readString(), readAsk(in));
+        return new LinkMessage.RequestSubmitted(in.readString(), readAsk(in));
       }
     },
     DECIDED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Decided(readVerdict(in));
+        return new LinkMessage.DecisionMade(readVerdict(in));
       }
     },
     ENDED {
@@ -128,35 +128,35 @@
     WITHDRAWN {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Withdrawn(in.readString(), readKey(in));
+        return new LinkMessage.RequestCancelled(in.readString(), readKey(in));
       }
     },
     UNABLE {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Unable(readKey(in));
+        return new LinkMessage.RequestDeclined(readKey(in));
       }
     },
     RULES {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Rules(ConfigurationCodec.read(in));
+        return new LinkMessage.ConfigurationUpdate(ConfigurationCodec.read(in));
       }
     },
     RULES_WANTED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.RulesWanted(in.readUInt64());
+        return new LinkMessage.ConfigurationQuery(in.readUInt64());
       }
     };
 
     abstract LinkMessage read(CodedInputStream in) throws IOException;
   }
 
-  private static void writeBeat(CodedOutputStream out, LinkMessage.Beat b) throws IOException {
+  private static void writeBeat(CodedOutputStream out, LinkMessage.Gossip b) throws IOException {
     out.writeUInt64NoTag(b.configurationRevision());
-    out.writeUInt32NoTag(b.news().size());
-    for (HostRegistration e : b.news()) {
+    out.writeUInt32NoTag(b.recentlyStarted().size());
+    for (HostRegistration e : b.recentlyStarted()) {
       out.writeStringNoTag(e.name());
       out.writeStringNoTag(e.dataCentre());
       writeAddress(out, e.callerAddress());
@@ -164,8 +164,8 @@
       out.writeUInt32NoTag(e.milliCores());
       out.writeUInt64NoTag(e.incarnation());
     }
-    out.writeUInt32NoTag(b.pulses().size());
-    for (HeartbeatState p : b.pulses()) {
+    out.writeUInt32NoTag(b.heartbeats().size());
+    for (HeartbeatState p : b.heartbeats()) {
       out.writeFixed32NoTag(p.hostHash());
       out.writeUInt64NoTag(p.incarnation());
       out.writeUInt64NoTag(p.counter());
@@ -199,7 +199,7 @@
               in.readBool(),
               in.readBool()));
     }
-    return new LinkMessage.Beat(revision, news, pulses);
+    return new LinkMessage.Gossip(revision, news, pulses);
   }
 
   private static void writeAsk(CodedOutputStream out, PlacementRequest a) throws IOException {
@@ -280,7 +280,8 @@
         in.readUInt64());
   }
 
-  private static void writeEnded(CodedOutputStream out, LinkMessage.Ended e) throws IOException {
+  private static void writeEnded(CodedOutputStream out, LinkMessage.AttemptsEnded e)
+      throws IOException {
     out.writeStringNoTag(e.service());
     out.writeUInt32NoTag(e.reports().size());
     for (AttemptReport r : e.reports()) {
@@ -315,7 +316,7 @@
               : Optional.empty();
       reports.add(new AttemptReport(key, upstream, end, took, load));
     }
-    return new LinkMessage.Ended(service, reports);
+    return new LinkMessage.AttemptsEnded(service, reports);
   }
 
   private static void writeKey(CodedOutputStream out, PlacementKey k) throws IOException {
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
@@ -7,7 +7,7 @@
 /**
  * What lasts: the operators' configuration, the upstreams' entries, and the hosts' entries.
  *
- * <p>Futures complete on the host's event loop, exceptionally with a {@link StoreFailure}.
+ * <p>Futures complete on the host's event loop, exceptionally with a {@link StoreException}.
  */
 public interface SiteStore {
   /**
@@ -39,7 +39,7 @@
    * @param after the revision that is known
    * @return what has changed, possibly nothing
    */
-  CompletableFuture<UpstreamChange> changedUpstreams(long after);
+  CompletableFuture<UpstreamChange> readUpstreamChanges(long after);
 
   /**
    * Reads all hosts.
@@ -61,12 +61,12 @@
    *
    * @return the count
    */
-  long calls();
+  long callCount();
 
   /**
    * Counts the calls that brought no result.
    *
    * @return the count
    */
-  long failedCalls();
+  long failedCallCount();
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/ConfigurationControllerTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/ConfigurationControllerTest.java
@@ -4,8 +4,8 @@
 
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.ConfigurationChange;
-import dev.cactusstack.gateway.site.KnownConfiguration;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.SiteConfiguration;
 import java.io.OutputStream;
@@ -20,7 +20,7 @@
 class ConfigurationControllerTest {
   private final VirtualLoop time = new VirtualLoop();
   private final FakeStore store = new FakeStore();
-  private final List<KnownConfiguration> told = new ArrayList<>();
+  private final List<ConfigurationSnapshot> told = new ArrayList<>();
   private final List<Long> asked = new ArrayList<>();
   private boolean reader = true;
   private final ConfigurationController controller =
@@ -33,16 +33,17 @@
 
   private static ConfigurationChange change(
       long revision, boolean complete, long version, Map<String, Boolean> evacuations) {
-    Optional<ConfigurationChange.Rules> rules =
+    Optional<ConfigurationChange.RoutingRules> rules =
         version == 0
             ? Optional.empty()
             : Optional.of(
-                new ConfigurationChange.Rules(version, List.of(), Map.of(), CallerLimits.DEFAULT));
+                new ConfigurationChange.RoutingRules(
+                    version, List.of(), Map.of(), CallerLimits.DEFAULT));
     return new ConfigurationChange(revision, revision, complete, rules, evacuations);
   }
 
   private long version() {
-    return controller.inForce().orElseThrow().version();
+    return controller.activeConfiguration().orElseThrow().version();
   }
 
   @BeforeEach
@@ -62,37 +63,40 @@
   @Test
   void shouldReadAllAgainWhenTheWatchWasLost() {
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    store.watches.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.UNKNOWN));
+    store.watches.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.UNKNOWN));
     assertThat(store.reads).hasSize(2);
     store.reads.get(1).complete(change(20, true, 4, Map.of("dc", true)));
     assertThat(version()).isEqualTo(4);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("dc");
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("dc");
     assertThat(store.watchedAfter).containsExactly(10L, 20L);
   }
 
   @Test
   void shouldReadAllAgainWhenTheHistoryIsGone() {
     store.reads.get(0).complete(change(10, true, 1, Map.of("dc", true)));
-    store.watches.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.HISTORY_GONE));
+    store
+        .watches
+        .get(0)
+        .completeExceptionally(FakeStore.failure(StoreException.Kind.HISTORY_UNAVAILABLE));
     store.reads.get(1).complete(change(30, true, 1, Map.of()));
-    assertThat(controller.inForce().orElseThrow().evacuated()).isEmpty();
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).isEmpty();
   }
 
   @Test
   void shouldNeverGoBackWhenAnOlderAnswerComesLate() {
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
+    controller.onRevisionAnnounced(15, asked::add);
     time.run(400);
     store.watches.get(0).complete(change(20, false, 5, Map.of()));
     store.reads.get(1).complete(change(16, true, 2, Map.of("dc", true)));
     assertThat(version()).isEqualTo(5);
-    assertThat(controller.inForce().orElseThrow().evacuated()).isEmpty();
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).isEmpty();
   }
 
   @Test
   void shouldReadWhenOthersKnowOfAChangeThatTheWatchDoesNotTell() {
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
+    controller.onRevisionAnnounced(15, asked::add);
     time.run(100);
     assertThat(store.reads).hasSize(1);
     time.run(300);
@@ -104,30 +108,30 @@
   @Test
   void shouldKeepAskingWithPausesWhenTheStoreIsAway() {
     for (int i = 0; i < 3; i++) {
-      store.reads.get(i).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
+      store.reads.get(i).completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
       assertThat(store.reads).hasSize(i + 1);
       time.run(300);
       assertThat(store.reads).hasSize(i + 2);
     }
-    assertThat(controller.failing()).isTrue();
+    assertThat(controller.isStoreFailing()).isTrue();
     store.reads.get(3).complete(change(9, true, 1, Map.of()));
-    assertThat(controller.failing()).isFalse();
+    assertThat(controller.isStoreFailing()).isFalse();
   }
 
   @Test
   void shouldKnowOfAnEvacuationWhenItIsOlderThanTheFirstConfiguration() {
     store.reads.get(0).complete(change(5, true, 0, Map.of("dc", true)));
-    assertThat(controller.inForce()).isEmpty();
+    assertThat(controller.activeConfiguration()).isEmpty();
     store.watches.get(0).complete(change(8, false, 1, Map.of()));
     store.reads.get(1).complete(change(8, true, 1, Map.of("dc", true)));
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("dc");
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("dc");
   }
 
-  private static KnownConfiguration known(long revision, long version, String... evacuated) {
+  private static ConfigurationSnapshot known(long revision, long version, String... evacuated) {
     var c =
         new SiteConfiguration(
             revision, version, List.of(), Map.of(), CallerLimits.DEFAULT, Set.of(evacuated));
-    return new KnownConfiguration(c, revision);
+    return new ConfigurationSnapshot(c, revision);
   }
 
   @Test
@@ -143,8 +147,8 @@
     reader = false;
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
     reader = true;
-    controller.roleMayHaveChanged();
-    controller.roleMayHaveChanged();
+    controller.updateReaderRole();
+    controller.updateReaderRole();
     assertThat(store.reads).hasSize(2);
     store.reads.get(1).complete(change(14, true, 2, Map.of()));
     assertThat(version()).isEqualTo(2);
@@ -155,19 +159,19 @@
   void shouldTakeOverWhatAnotherHostHasInForceWhenItIsNewer() {
     reader = false;
     store.reads.get(0).complete(change(10, true, 1, Map.of("a", true)));
-    controller.told(known(12, 2, "b"));
+    controller.onSnapshot(known(12, 2, "b"));
     assertThat(version()).isEqualTo(2);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("b");
-    controller.told(known(11, 1));
-    controller.told(known(13, 1));
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("b");
+    controller.onSnapshot(known(11, 1));
+    controller.onSnapshot(known(13, 1));
     assertThat(version()).isEqualTo(2);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("b");
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("b");
   }
 
   @Test
   void shouldStartFromAnotherHostWhenTheStoreIsAway() {
-    store.reads.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
-    controller.told(known(12, 2));
+    store.reads.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
+    controller.onSnapshot(known(12, 2));
     assertThat(version()).isEqualTo(2);
   }
 
@@ -175,9 +179,9 @@
   void shouldAskTheHostThatKnowsOfAChangeBeforeTheStore() {
     reader = false;
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
+    controller.onRevisionAnnounced(15, asked::add);
     assertThat(asked).containsExactly(10L);
-    controller.told(known(15, 2));
+    controller.onSnapshot(known(15, 2));
     time.run(1_000);
     assertThat(store.reads).hasSize(1);
   }
@@ -187,7 +191,9 @@
     store.reads.get(0).complete(change(10, true, 1, Map.of()));
     assertThat(told).isEmpty();
     store.watches.get(0).complete(change(12, false, 3, Map.of()));
-    controller.told(known(14, 4));
-    assertThat(told).extracting(KnownConfiguration::changedAt).containsExactly(12L, 14L);
+    controller.onSnapshot(known(14, 4));
+    assertThat(told)
+        .extracting(ConfigurationSnapshot::lastChangeRevision)
+        .containsExactly(12L, 14L);
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.gateway.site.ConfigurationChange;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
@@ -17,8 +17,8 @@
   final List<CompletableFuture<UpstreamChange>> upstreamReads = new ArrayList<>();
   final List<Long> upstreamsAfter = new ArrayList<>();
 
-  static StoreFailure failure(StoreFailure.Kind kind) {
-    return new StoreFailure(kind, "test");
+  static StoreException failure(StoreException.Kind kind) {
+    return new StoreException(kind, "test");
   }
 
   private static <T> CompletableFuture<T> open(List<CompletableFuture<T>> calls) {
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public CompletableFuture<UpstreamChange> changedUpstreams(long after) {
+  public CompletableFuture<UpstreamChange> readUpstreamChanges(long after) {
     upstreamsAfter.add(after);
     return open(upstreamReads);
   }
@@ -61,12 +61,12 @@
   }
 
   @Override
-  public long calls() {
+  public long callCount() {
     return reads.size() + watches.size() + upstreamReads.size();
   }
 
   @Override
-  public long failedCalls() {
+  public long failedCallCount() {
     return 0;
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
@@ -53,12 +53,12 @@
   }
 
   private List<String> usable() {
-    return controller.usable("s").stream().map(UpstreamRegistration::id).sorted().toList();
+    return controller.usableUpstreams("s").stream().map(UpstreamRegistration::id).sorted().toList();
   }
 
   /** Reads as long as this host is in use. */
   private void use() {
-    controller.whenFresh(() -> ran++);
+    controller.runWhenFresh(() -> ran++);
   }
 
   private void answer(int call, UpstreamChange c) {
@@ -119,7 +119,10 @@
     use();
     answer(0, change(10, true, upstream("a", false, 0, 1)));
     time.run(710);
-    store.upstreamReads.get(1).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
+    store
+        .upstreamReads
+        .get(1)
+        .completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
     time.run(710);
     answer(2, gone(11, "a"));
     assertThat(usable()).containsExactly("a");
@@ -147,18 +150,18 @@
     use();
     answer(0, change(10, true, upstream("a", false, 3_000, 1)));
     time.run(1_000);
-    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isEqualTo(2_000);
+    assertThat(controller.usableUpstreams("s").get(0).warmupRemainingMs()).isEqualTo(2_000);
     time.run(2_500);
-    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isZero();
+    assertThat(controller.usableUpstreams("s").get(0).warmupRemainingMs()).isZero();
   }
 
   @Test
   void shouldBeStaleWhenTheStoreCouldNotBeReadLately() {
     use();
     answer(0, change(10, true, upstream("a", false, 0, 1)));
-    assertThat(controller.stale()).isFalse();
+    assertThat(controller.isStale()).isFalse();
     time.run(1_400);
-    assertThat(controller.stale()).isTrue();
+    assertThat(controller.isStale()).isTrue();
   }
 
   @Test
@@ -169,7 +172,7 @@
     store
         .upstreamReads
         .get(1)
-        .completeExceptionally(FakeStore.failure(StoreFailure.Kind.HISTORY_GONE));
+        .completeExceptionally(FakeStore.failure(StoreException.Kind.HISTORY_UNAVAILABLE));
     assertThat(store.upstreamsAfter).containsExactly(-1L, 10L, -1L);
     answer(2, change(20, true, upstream("b", false, 0, 1)));
     assertThat(usable()).containsExactly("b");
--- a/gateway/src/test/java/dev/cactusstack/gateway/observe/EventLogTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/observe/EventLogTest.java
@@ -21,9 +21,9 @@
     long written =
         out.toString(StandardCharsets.UTF_8).lines().filter(l -> l.contains("flood")).count();
     assertThat(written).isBetween(1_000L, 4_000L);
-    assertThat(log.dropped()).isEqualTo(FLOOD - written);
+    assertThat(log.droppedLineCount()).isEqualTo(FLOOD - written);
     assertThat(out.toString(StandardCharsets.UTF_8))
-        .contains("event=log_dropped lines=" + log.dropped());
+        .contains("event=log_dropped lines=" + log.droppedLineCount());
   }
 
   @Test
--- a/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
@@ -10,7 +10,7 @@
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.ReportedLoad;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.HostRegistration;
@@ -34,21 +34,21 @@
 
   private static final List<LinkMessage> MESSAGES =
       List.of(
-          new LinkMessage.Beat(
+          new LinkMessage.Gossip(
               77,
               List.of(new HostRegistration("h", "dc", A, A, 600, 3)),
               List.of(
                   new HeartbeatState(-1, 9, 4, true, false, true),
                   new HeartbeatState(2, 1, 1, false, true, false))),
-          new LinkMessage.Asked(
+          new LinkMessage.RequestSubmitted(
               "s",
               new PlacementRequest(KEY, "dc", "r", 2, 300, 250, 900, 60_000, true, Set.of("u"))),
-          new LinkMessage.Decided(
+          new LinkMessage.DecisionMade(
               new PlacementDecision.Placed(
                   KEY, new UpstreamRegistration("u", "s", A, "dc", 4, false, 0, 5))),
-          new LinkMessage.Decided(new PlacementDecision.Rejected(KEY, 40)),
-          new LinkMessage.Decided(new PlacementDecision.Queued(KEY)),
-          new LinkMessage.Ended(
+          new LinkMessage.DecisionMade(new PlacementDecision.Rejected(KEY, 40)),
+          new LinkMessage.DecisionMade(new PlacementDecision.Queued(KEY)),
+          new LinkMessage.AttemptsEnded(
               "s",
               List.of(
                   new AttemptReport(
@@ -58,11 +58,11 @@
                       90,
                       Optional.of(new ReportedLoad(1, 2, 4, 700))),
                   new AttemptReport(KEY, "u", AttemptOutcome.UNUSED, 0, Optional.empty()))),
-          new LinkMessage.Withdrawn("s", KEY),
-          new LinkMessage.Unable(KEY),
-          new LinkMessage.RulesWanted(77),
-          new LinkMessage.Rules(
-              new KnownConfiguration(
+          new LinkMessage.RequestCancelled("s", KEY),
+          new LinkMessage.RequestDeclined(KEY),
+          new LinkMessage.ConfigurationQuery(77),
+          new LinkMessage.ConfigurationUpdate(
+              new ConfigurationSnapshot(
                   new SiteConfiguration(
                       80,
                       7,
