--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -33,29 +33,29 @@
 import java.util.function.LongSupplier;
 
 /**
- * An entry host: its ports, its controllers and its stop in good order.
+ * An entry host: creates and connects its ports and controllers, and drains them on shutdown.
  *
- * <p>Everything runs on one event loop, so nothing here takes a lock. Confined to that loop, but
- * for the constructor.
+ * <p>Everything runs on one event loop, so no locks are needed. Confined to that loop, except for
+ * the constructor.
  */
 public final class Gateway {
-  private static final long SWEEP_MS = 1_000;
-  private static final long DEAD_AFTER_MS = 3_500;
-  private static final long ACCEPT_WHILE_LEAVING_MS = 3_000;
-  private static final long LEAVING_CHECK_MS = 50;
+  private static final long IDLE_CHECK_INTERVAL_MS = 1_000;
+  private static final long PEER_TIMEOUT_MS = 3_500;
+  private static final long DRAIN_ACCEPT_MS = 3_000;
+  private static final long DRAIN_CHECK_INTERVAL_MS = 50;
   private static final long EXIT_MARGIN_MS = 500;
-  private static final int ENOUGH_HOSTS = 2;
-  private static final int MOST_HOSTS = 64;
-  private static final long FIRST_ASKS = 1L << 40;
+  private static final int MIN_DIRECTORY_HOSTS = 2;
+  private static final int MAX_DIRECTORY_HOSTS = 64;
+  private static final long MAX_INITIAL_SEQUENCE_NUMBER = 1L << 40;
   private static final int CONNECT_TIMEOUT_MS = 400;
-  private static final long IDLE_CONNECTION_MS = 8_000;
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
-  private static final double CROSS_DATA_CENTRE_MS = 12;
+  private static final long MAX_IDLE_CONNECTION_MS = 8_000;
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
+  private static final double CROSS_DATA_CENTRE_ROUND_TRIP_MS = 12;
   private static final double CROSS_DATA_CENTRE_MS_PER_KB = 1;
-  private static final double CONNECT_MS = 12;
-  private static final double COLD_SHARE = 0.45;
-  private static final double REPEAT_RATIO_SHARE = 0.9;
-  private static final double REPEAT_ALLOWANCE_SHARE = 0.8;
+  private static final double CONNECT_COST_MS = 12;
+  private static final double WARMUP_RATE_SHARE = 0.45;
+  private static final double RETRY_RATIO_SHARE = 0.9;
+  private static final double RETRY_ALLOWANCE_SHARE = 0.8;
 
   private final GatewaySettings settings;
   private final EventLoop loop;
@@ -73,19 +73,19 @@
   private final CallersPort readiness;
   private final CallersPort directory;
   private final CallersPort metrics;
-  private boolean leaving;
+  private boolean draining;
 
   /**
    * Creates a host that has not started.
    *
-   * @param settings what the host is told
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where events are told
-   * @param random spreads choices that need no reason
-   * @param store what lasts
-   * @param wire header fields
-   * @param endpoints makes the filters for the site's questions to this host
+   * @param settings the settings of the host
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs events
+   * @param random source of randomness for gossip, the directory and sequence numbers
+   * @param store the store of the site
+   * @param upstreamHeaders reads and writes the header fields of messages
+   * @param endpoints creates the filters for the site's readiness and directory requests
    */
   public Gateway(
       GatewaySettings settings,
@@ -94,7 +94,7 @@
       EventLog log,
       Random random,
       SiteStore store,
-      UpstreamHeaders wire,
+      UpstreamHeaders upstreamHeaders,
       Function<Gateway, Endpoints> endpoints) {
     this.settings = settings;
     this.loop = loop;
@@ -105,7 +105,7 @@
         new ConfigurationController(loop, clock, log, store, this::readsConfiguration);
     this.upstreams =
         new UpstreamsController(loop, clock, log, store, configuration::activeConfiguration);
-    this.peers = new PeerTable(settings.host(), DEAD_AFTER_MS, random);
+    this.peers = new PeerTable(settings.host(), PEER_TIMEOUT_MS, random);
     this.link = new Link(loop, log);
     var self =
         new HostRegistration(
@@ -128,22 +128,22 @@
             random,
             () -> !configuration.isStoreFailing() && !upstreams.isStoreFailing(),
             () -> !upstreams.isNeverRead());
-    GatewaySettings.Bounds b = settings.bounds();
-    var figures = new GatewayMetrics();
+    GatewaySettings.Bounds siteBounds = settings.bounds();
+    var gatewayMetrics = new GatewayMetrics();
     var schedulerSettings =
         new SchedulerSettings(
-            CROSS_DATA_CENTRE_MS,
+            CROSS_DATA_CENTRE_ROUND_TRIP_MS,
             CROSS_DATA_CENTRE_MS_PER_KB,
-            CONNECT_MS,
-            COLD_SHARE,
-            b.warmupRateFactor(),
-            b.warmupRateExtraPerSecond());
+            CONNECT_COST_MS,
+            WARMUP_RATE_SHARE,
+            siteBounds.warmupRateFactor(),
+            siteBounds.warmupRateExtraPerSecond());
     this.client =
         new HttpClient(
             loop,
-            new ClientLimits(CONNECT_TIMEOUT_MS, IDLE_CONNECTION_MS, false, MAX_ANSWER_BYTES),
+            new ClientLimits(CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
             clock);
-    var prober = new UpstreamProber(client, wire);
+    var prober = new UpstreamProber(client, upstreamHeaders);
     var schedulers =
         new LocalSchedulers(
             loop,
@@ -162,49 +162,61 @@
             peers,
             schedulers,
             settings.host(),
-            random.nextLong(FIRST_ASKS));
-    var budget =
+            random.nextLong(MAX_INITIAL_SEQUENCE_NUMBER));
+    var retryBudget =
         new RequestTools.RepeatBudget(
-            b.retryWindowMs(),
-            b.retryRatio() * REPEAT_RATIO_SHARE,
-            () -> b.retryAllowance() * REPEAT_ALLOWANCE_SHARE / peers.size());
+            siteBounds.retryWindowMs(),
+            siteBounds.retryRatio() * RETRY_RATIO_SHARE,
+            () -> siteBounds.retryAllowance() * RETRY_ALLOWANCE_SHARE / peers.size());
     var tools =
         new RequestTools(
-            settings.dataCentre(), loop, clock, log, wire, client, placement, budget, figures);
-    Endpoints e = endpoints.apply(this);
-    this.callers = port(List.of(new ServeFilter(configuration, tools)));
-    this.readiness = port(List.of(e.readiness()));
-    this.directory = port(List.of(e.directory()));
-    this.metrics = port(List.of(new MetricsFilter(figures)));
-    count(figures, store, prober);
+            settings.dataCentre(),
+            loop,
+            clock,
+            log,
+            upstreamHeaders,
+            client,
+            placement,
+            retryBudget,
+            gatewayMetrics);
+    Endpoints siteEndpoints = endpoints.apply(this);
+    this.callers = createPort(List.of(new ServeFilter(configuration, tools)));
+    this.readiness = createPort(List.of(siteEndpoints.readiness()));
+    this.directory = createPort(List.of(siteEndpoints.directory()));
+    this.metrics = createPort(List.of(new MetricsFilter(gatewayMetrics)));
+    registerCounters(gatewayMetrics, store, prober);
   }
 
-  private void count(GatewayMetrics f, SiteStore store, UpstreamProber prober) {
-    f.registerCounter("cactusstack_store_calls", "Calls of the store", store::callCount);
-    f.registerCounter(
-        "cactusstack_store_failures", "Calls of the store without result", store::failedCallCount);
-    f.registerCounter("cactusstack_upstream_connections", "Connections opened", client::opened);
-    f.registerCounter("cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
-    f.registerCounter(
+  private void registerCounters(GatewayMetrics registry, SiteStore store, UpstreamProber prober) {
+    registry.registerCounter("cactusstack_store_calls", "Calls to the store", store::callCount);
+    registry.registerCounter(
+        "cactusstack_store_failures", "Failed calls to the store", store::failedCallCount);
+    registry.registerCounter(
+        "cactusstack_upstream_connections", "Connections opened to upstreams", client::opened);
+    registry.registerCounter(
+        "cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
+    registry.registerCounter(
         "cactusstack_link_messages", "Messages sent to other hosts", link::sentMessageCount);
-    f.registerCounter(
-        "cactusstack_log_lines_dropped", "Log lines that were dropped", log::droppedLineCount);
+    registry.registerCounter(
+        "cactusstack_log_lines_dropped",
+        "Log lines dropped because the log buffer was full",
+        log::droppedLineCount);
   }
 
   /**
-   * The filters for the site's questions to a host.
+   * The filters for the site's requests to a host.
    *
-   * @param readiness tells whether the host is ready
-   * @param directory tells callers which addresses to use
+   * @param readiness answers whether the host is ready
+   * @param directory answers which addresses callers should use
    */
   public record Endpoints(Filter readiness, Filter directory) {}
 
-  private CallersPort port(List<Filter> chain) {
+  private CallersPort createPort(List<Filter> chain) {
     return new CallersPort(loop, chain, configuration::limits, clock);
   }
 
   /**
-   * Opens the ports and begins to follow the store.
+   * Opens the ports and starts to follow the store.
    *
    * @return completes when all ports are open
    */
@@ -212,47 +224,50 @@
     var opened = new CompletableFuture<Void>();
     callers
         .open(settings.callersAddress())
-        .addListener(f -> failIf(f.cause(), opened, settings.callersAddress()));
+        .addListener(f -> failOnError(f.cause(), opened, settings.callersAddress()));
     readiness
         .open(settings.readinessAddress())
-        .addListener(f -> failIf(f.cause(), opened, settings.readinessAddress()));
+        .addListener(f -> failOnError(f.cause(), opened, settings.readinessAddress()));
     directory
         .open(settings.directoryAddress())
-        .addListener(f -> failIf(f.cause(), opened, settings.directoryAddress()));
+        .addListener(f -> failOnError(f.cause(), opened, settings.directoryAddress()));
     metrics
         .open(settings.metricsAddress())
-        .addListener(f -> failIf(f.cause(), opened, settings.metricsAddress()));
-    link.open(settings.linkAddress(), this::received)
+        .addListener(f -> failOnError(f.cause(), opened, settings.metricsAddress()));
+    link.open(settings.linkAddress(), this::dispatchMessage)
         .addListener(
             f -> {
-              failIf(f.cause(), opened, settings.linkAddress());
+              failOnError(f.cause(), opened, settings.linkAddress());
               opened.complete(null);
             });
     configuration.start(upstreams::onConfigurationChanged, hosts::announceConfiguration);
     hosts.start();
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(
+        this::sweep, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     return opened;
   }
 
-  private static void failIf(
+  private static void failOnError(
       @org.jspecify.annotations.Nullable Throwable cause,
       CompletableFuture<Void> opened,
       Address address) {
     if (cause != null) {
       opened.completeExceptionally(
-          new IllegalStateException("can't listen on " + address + ": free the port", cause));
+          new IllegalStateException(
+              "cannot listen on " + address + ": make sure that no other process uses the port",
+              cause));
     }
   }
 
-  private void received(LinkMessage m, Address from) {
-    if (m instanceof LinkMessage.Gossip b) {
-      hosts.onGossip(b, from);
-    } else if (m instanceof LinkMessage.ConfigurationUpdate r) {
-      configuration.onSnapshot(r.snapshot());
-    } else if (m instanceof LinkMessage.ConfigurationQuery w) {
-      hosts.onConfigurationQuery(w, from);
+  private void dispatchMessage(LinkMessage message, Address from) {
+    if (message instanceof LinkMessage.Gossip gossip) {
+      hosts.onGossip(gossip, from);
+    } else if (message instanceof LinkMessage.ConfigurationUpdate update) {
+      configuration.onSnapshot(update.snapshot());
+    } else if (message instanceof LinkMessage.ConfigurationQuery query) {
+      hosts.onConfigurationQuery(query, from);
     } else {
-      placement.onMessage(m, from);
+      placement.onMessage(message, from);
     }
   }
 
@@ -269,60 +284,63 @@
   }
 
   /**
-   * Tells whether callers should use this host.
+   * Returns whether callers should use this host.
    *
-   * @return false before a configuration is known and once the host leaves
+   * @return false before a configuration is known and once the host drains
    */
   public boolean isReady() {
-    return !leaving && configuration.activeConfiguration().isPresent();
+    return !draining && configuration.activeConfiguration().isPresent();
   }
 
   /**
-   * Chooses the hosts that a caller is told to use.
+   * Chooses the addresses that a caller should use.
    *
    * @param dataCentre the caller's data centre
-   * @return where to connect, never empty while this host is ready
+   * @return the addresses to connect to, never empty while this host is ready
    */
   public List<Address> callerAddresses(String dataCentre) {
-    return new DirectoryPolicy(ENOUGH_HOSTS, MOST_HOSTS)
+    return new DirectoryPolicy(MIN_DIRECTORY_HOSTS, MAX_DIRECTORY_HOSTS)
         .choose(peers.usableHosts(clock.getAsLong()), dataCentre, random).stream()
             .map(HostRegistration::callerAddress)
             .toList();
   }
 
   /**
-   * Leaves in good order: out of the directory at once, serving for as long as callers may still
-   * come, then until nothing is in flight.
+   * Drains this host: removes it from the directory immediately, accepts requests for as long as
+   * callers may still connect, and then waits until no request is in flight.
    *
-   * @return completes when the process can end
+   * @return completes when the process can exit
    */
   public CompletableFuture<Void> drain() {
-    var left = new CompletableFuture<Void>();
-    if (leaving) {
-      return left;
+    var drained = new CompletableFuture<Void>();
+    if (draining) {
+      return drained;
     }
-    leaving = true;
+    draining = true;
     log.event("leaving").with("in_flight", callers.inFlight()).write();
     hosts.announceLeaving();
     callers.lastAnswers();
-    loop.schedule(callers::stopListening, ACCEPT_WHILE_LEAVING_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(callers::stopListening, DRAIN_ACCEPT_MS, TimeUnit.MILLISECONDS);
     long startMs = clock.getAsLong();
-    leaveWhenQuiet(left, startMs);
-    return left;
+    completeWhenDrained(drained, startMs);
+    return drained;
   }
 
-  private void leaveWhenQuiet(CompletableFuture<Void> left, long startMs) {
-    long passed = clock.getAsLong() - startMs;
-    boolean accepting = passed < ACCEPT_WHILE_LEAVING_MS;
+  private void completeWhenDrained(CompletableFuture<Void> drained, long startMs) {
+    long elapsedMs = clock.getAsLong() - startMs;
+    boolean accepting = elapsedMs < DRAIN_ACCEPT_MS;
     if (!accepting) {
       callers.closeQuiet();
     }
-    boolean quiet = !accepting && callers.inFlight() == 0;
-    if (quiet || passed > settings.bounds().terminationGraceMs() - EXIT_MARGIN_MS) {
-      log.event("left").with("in_flight", callers.inFlight()).with("after_ms", passed).write();
-      left.complete(null);
+    boolean idle = !accepting && callers.inFlight() == 0;
+    if (idle || elapsedMs > settings.bounds().terminationGraceMs() - EXIT_MARGIN_MS) {
+      log.event("left").with("in_flight", callers.inFlight()).with("after_ms", elapsedMs).write();
+      drained.complete(null);
       return;
     }
-    loop.schedule(() -> leaveWhenQuiet(left, startMs), LEAVING_CHECK_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> completeWhenDrained(drained, startMs),
+        DRAIN_CHECK_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * What a host is told when it starts. Immutable and thread-safe.
+ * Settings of a host. Immutable and thread-safe.
  *
  * @param host the host's name
  * @param dataCentre the name of its data centre
- * @param callersAddress where callers connect
- * @param readinessAddress where the site asks whether the host is ready
- * @param directoryAddress where callers ask for addresses
- * @param metricsAddress where the host's metrics are served
- * @param linkAddress where other hosts send datagrams
- * @param milliCores the processor that the host has, in thousandths of a core
- * @param bounds what the site holds the host to
+ * @param callersAddress the address that callers connect to
+ * @param readinessAddress the address of the readiness check
+ * @param directoryAddress the address of the directory that lists hosts for callers
+ * @param metricsAddress the address that serves the host's metrics
+ * @param linkAddress the address that receives datagrams of other hosts
+ * @param milliCores the CPU share of the host, in thousandths of a core
+ * @param bounds limits that the site sets
  */
 public record GatewaySettings(
     String host,
@@ -34,16 +34,16 @@
   }
 
   /**
-   * What the site holds hosts to. Immutable and thread-safe.
+   * Limits that the site sets for its hosts. Immutable and thread-safe.
    *
-   * @param retryRatio repeats for each request to a service, over all hosts
-   * @param retryWindowMs length of the window in which that holds, in milliseconds
-   * @param retryAllowance repeats allowed in a window besides, over all hosts
-   * @param warmupRateFactor factor on the rate that a cold upstream bears
-   * @param warmupRateExtraPerSecond requests a second to a cold upstream besides
-   * @param terminationGraceMs time from the signal to stop until the process is killed, in
+   * @param retryRatio maximum retries for each request to a service, over all hosts
+   * @param retryWindowMs length of the window that the retry limits apply to, in milliseconds
+   * @param retryAllowance additional retries allowed in a window, over all hosts
+   * @param warmupRateFactor maximum request rate to a cold upstream, as a factor on its warmup rate
+   * @param warmupRateExtraPerSecond additional requests per second allowed to a cold upstream
+   * @param terminationGraceMs time from the termination signal until the process is killed, in
    *     milliseconds
-   * @param maxTtlMs longest time that callers may keep addresses, in milliseconds
+   * @param maxTtlMs maximum time that callers may cache addresses, in milliseconds
    */
   public record Bounds(
       double retryRatio,
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
@@ -24,64 +24,65 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The configuration in force.
+ * Tracks the configuration in force.
  *
- * <p>Every host reads it from the store when it starts. Then readers follow the store, and tell
- * other hosts of each change; a host that hears of a change which it doesn't have asks for it, and
- * reads the store when nobody answers.
+ * <p>Every host reads the configuration from the store when it starts. After that, readers watch
+ * the store and send each change to other hosts. A host that learns of a newer revision queries the
+ * host that announced it, and reads the store if the change does not arrive.
  *
- * <p>Invariant: what is in force never goes back to an older revision. Confined to the event loop.
+ * <p>Invariant: the configuration in force never reverts to an older revision. Confined to the
+ * event loop.
  */
 public final class ConfigurationController {
-  private static final long WATCH_MS = 20_000;
-  private static final long WATCH_PATIENCE_MS = 300;
-  private static final long RETRY_MS = 250;
+  private static final long WATCH_TIMEOUT_MS = 20_000;
+  private static final long ANNOUNCED_CHANGE_WAIT_MS = 300;
+  private static final long READ_RETRY_MS = 250;
 
   private final EventLoop loop;
   private final LongSupplier clock;
   private final EventLog log;
   private final SiteStore store;
-  private final BooleanSupplier reader;
-  private Runnable changed = () -> {};
-  private Consumer<ConfigurationSnapshot> news = k -> {};
+  private final BooleanSupplier isReader;
+  private Runnable changeListener = () -> {};
+  private Consumer<ConfigurationSnapshot> snapshotListener = k -> {};
   private @Nullable SiteConfiguration activeConfiguration;
   private RouteMatcher routeMatcher = new RouteMatcher(List.of());
-  private boolean whole;
-  private boolean resting;
-  private boolean rereading;
-  private boolean isStoreFailing;
-  private long sinceMs;
+  private boolean fullyRead;
+  private boolean followingPaused;
+  private boolean rereadPending;
+  private boolean storeFailing;
+  private long failingSinceMs;
   private long lastChangeRevision;
-  private long cursor;
+  private long watchRevision;
 
   /**
    * Creates a controller that knows no configuration.
    *
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where changes are told
-   * @param store where operators write
-   * @param reader whether this host follows the store
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs changes
+   * @param store the store that operators write the configuration to
+   * @param isReader whether this host watches the store
    */
   public ConfigurationController(
-      EventLoop loop, LongSupplier clock, EventLog log, SiteStore store, BooleanSupplier reader) {
+      EventLoop loop, LongSupplier clock, EventLog log, SiteStore store, BooleanSupplier isReader) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
     this.store = store;
-    this.reader = reader;
+    this.isReader = isReader;
   }
 
   /**
-   * Begins to follow the operators' configuration.
+   * Starts to read and watch the configuration.
    *
    * @param listener runs after each change, on the event loop
-   * @param teller receives each change that other hosts may not have heard of
+   * @param snapshotReceiver receives each changed configuration that other hosts may not have
    */
-  public void start(Runnable listener, Consumer<ConfigurationSnapshot> teller) {
-    changed = listener;
-    news = teller;
-    follow();
+  public void start(Runnable listener, Consumer<ConfigurationSnapshot> snapshotReceiver) {
+    changeListener = listener;
+    snapshotListener = snapshotReceiver;
+    followStore();
   }
 
   /**
@@ -94,25 +95,25 @@
   }
 
   /**
-   * Returns the routes in force.
+   * Returns the matcher for the routes in force.
    *
-   * @return the routes, none before a configuration is known
+   * @return the matcher, without routes before a configuration is known
    */
   public RouteMatcher routeMatcher() {
     return routeMatcher;
   }
 
   /**
-   * Returns what callers may send.
+   * Returns the limits on what callers may send.
    *
-   * @return bounds
+   * @return the limits in force, or defaults before a configuration is known
    */
   public CallerLimits limits() {
     return activeConfiguration == null ? CallerLimits.DEFAULT : activeConfiguration.limits();
   }
 
   /**
-   * Returns when the configuration in force was last changed.
+   * Returns the revision at which the configuration in force was last changed.
    *
    * @return the store's revision of the change, 0 before one is known
    */
@@ -121,75 +122,85 @@
   }
 
   /**
-   * Tells whether the store does not answer.
+   * Returns whether the store is unavailable.
    *
    * @return true from a failed call until the next that succeeds
    */
   public boolean isStoreFailing() {
-    return isStoreFailing;
+    return storeFailing;
   }
 
-  /** Follows the store again, if this host has become a reader. */
+  /** Resumes watching the store if this host has become a reader. */
   public void updateReaderRole() {
-    if (resting && reader.getAsBoolean()) {
-      resting = false;
-      // Changes may have been missed since the last look, so everything is read before a watch.
-      whole = false;
+    if (followingPaused && isReader.getAsBoolean()) {
+      followingPaused = false;
+      // Changes may have been missed since the last read, so everything is read before watching.
+      fullyRead = false;
       log.event("configuration_reader").write();
-      follow();
+      followStore();
     }
   }
 
   /**
-   * Returns the configuration in force with its newest change, to be told to other hosts.
+   * Returns the configuration in force with the revision of its newest change.
    *
    * @return the configuration, or nothing before one is known
    */
   public Optional<ConfigurationSnapshot> snapshot() {
-    return activeConfiguration().map(c -> new ConfigurationSnapshot(c, lastChangeRevision));
+    return activeConfiguration()
+        .map(current -> new ConfigurationSnapshot(current, lastChangeRevision));
   }
 
   /**
-   * Takes in what another host has in force.
+   * Handles the configuration in force at another host.
    *
-   * @param k the configuration
+   * @param received the configuration
    */
-  public void onSnapshot(ConfigurationSnapshot k) {
-    SiteConfiguration c = k.configuration();
-    if (activeConfiguration != null && c.version() < activeConfiguration.version()) {
+  public void onSnapshot(ConfigurationSnapshot received) {
+    SiteConfiguration receivedConfiguration = received.configuration();
+    if (activeConfiguration != null
+        && receivedConfiguration.version() < activeConfiguration.version()) {
       return;
     }
     Map<String, Boolean> evacuations = new HashMap<>();
-    c.evacuated().forEach(dataCentre -> evacuations.put(dataCentre, true));
+    receivedConfiguration.evacuated().forEach(dataCentre -> evacuations.put(dataCentre, true));
     var rules =
-        new ConfigurationChange.RoutingRules(c.version(), c.routes(), c.services(), c.limits());
+        new ConfigurationChange.RoutingRules(
+            receivedConfiguration.version(),
+            receivedConfiguration.routes(),
+            receivedConfiguration.services(),
+            receivedConfiguration.limits());
     apply(
         new ConfigurationChange(
-            c.revision(), k.lastChangeRevision(), true, Optional.of(rules), evacuations));
+            receivedConfiguration.revision(),
+            received.lastChangeRevision(),
+            true,
+            Optional.of(rules),
+            evacuations));
   }
 
   /**
-   * Takes in that another host knows of a change. When that host does not tell it soon, and no
-   * watch does, the configuration is read.
+   * Handles the announcement of a revision by another host. If the change arrives neither from that
+   * host nor from the watch in time, the configuration is read from the store.
    *
    * @param revision the store's revision of the change
-   * @param ask asks that host for its configuration, given the revision that this one knows
+   * @param query queries that host for its configuration, given this host's revision
    */
-  public void onRevisionAnnounced(long revision, LongConsumer ask) {
-    if (!rereading && behind(revision)) {
-      rereading = true;
-      ask.accept(activeConfiguration == null ? 0 : activeConfiguration.revision());
-      loop.schedule(() -> readIfBehind(revision), WATCH_PATIENCE_MS, TimeUnit.MILLISECONDS);
+  public void onRevisionAnnounced(long revision, LongConsumer query) {
+    if (!rereadPending && isBehind(revision)) {
+      rereadPending = true;
+      query.accept(activeConfiguration == null ? 0 : activeConfiguration.revision());
+      loop.schedule(() -> readIfBehind(revision), ANNOUNCED_CHANGE_WAIT_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private boolean behind(long revision) {
+  private boolean isBehind(long revision) {
     return activeConfiguration == null || activeConfiguration.revision() < revision;
   }
 
   private void readIfBehind(long revision) {
-    if (!behind(revision)) {
-      rereading = false;
+    if (!isBehind(revision)) {
+      rereadPending = false;
       return;
     }
     log.event("configuration_watch_silent").with("revision", revision).write();
@@ -197,129 +208,141 @@
         .readConfiguration()
         .whenComplete(
             (change, failure) -> {
-              rereading = false;
+              rereadPending = false;
               if (failure == null) {
                 apply(change);
               }
             });
   }
 
-  private void follow() {
-    if (whole && !reader.getAsBoolean()) {
-      resting = true;
+  private void followStore() {
+    if (fullyRead && !isReader.getAsBoolean()) {
+      followingPaused = true;
       return;
     }
     CompletableFuture<ConfigurationChange> call =
-        whole ? store.watchConfiguration(cursor, WATCH_MS) : store.readConfiguration();
+        fullyRead
+            ? store.watchConfiguration(watchRevision, WATCH_TIMEOUT_MS)
+            : store.readConfiguration();
     call.whenComplete(
         (change, failure) -> {
           if (failure == null) {
-            recovered();
-            take(change);
+            onStoreRecovered();
+            onStoreChange(change);
           } else {
-            failed(failure);
+            onStoreFailure(failure);
           }
         });
   }
 
-  private void take(ConfigurationChange change) {
-    cursor = change.revision();
-    // The first configuration is read whole, so that nothing that was there before it is missed.
-    whole = change.fullSnapshot() || activeConfiguration != null;
-    if (whole) {
+  private void onStoreChange(ConfigurationChange change) {
+    watchRevision = change.revision();
+    // The first configuration is always read in full, so that older entries are not missed.
+    fullyRead = change.fullSnapshot() || activeConfiguration != null;
+    if (fullyRead) {
       apply(change);
     }
-    follow();
+    followStore();
   }
 
-  private void again() {
-    loop.schedule(this::follow, RETRY_MS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry() {
+    loop.schedule(this::followStore, READ_RETRY_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void recovered() {
-    if (isStoreFailing) {
-      isStoreFailing = false;
-      log.event("store_regained").with("after_ms", clock.getAsLong() - sinceMs).write();
+  private void onStoreRecovered() {
+    if (storeFailing) {
+      storeFailing = false;
+      log.event("store_regained").with("after_ms", clock.getAsLong() - failingSinceMs).write();
     }
   }
 
-  private void failed(Throwable failure) {
-    // A watch that ended may have missed changes and, set up again, may not tell them: read all.
-    boolean watching = whole;
-    whole = false;
-    if (failure instanceof StoreException f
-        && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
+  private void onStoreFailure(Throwable failure) {
+    // A failed watch may have missed changes that a new watch does not deliver, so read all.
+    boolean wasWatching = fullyRead;
+    fullyRead = false;
+    if (failure instanceof StoreException storeException
+        && storeException.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       log.event("configuration_history_gone").write();
-      follow();
+      followStore();
       return;
     }
-    if (!isStoreFailing) {
-      isStoreFailing = true;
-      sinceMs = clock.getAsLong();
+    if (!storeFailing) {
+      storeFailing = true;
+      failingSinceMs = clock.getAsLong();
       log.event("store_lost").with("cause", String.valueOf(failure.getMessage())).write();
     }
-    if (watching) {
-      follow();
+    if (wasWatching) {
+      followStore();
     } else {
-      again();
+      scheduleRetry();
     }
   }
 
   private void apply(ConfigurationChange change) {
-    SiteConfiguration old = activeConfiguration;
-    if (old != null && change.revision() <= old.revision()) {
+    SiteConfiguration previous = activeConfiguration;
+    if (previous != null && change.revision() <= previous.revision()) {
       return;
     }
     lastChangeRevision = Math.max(lastChangeRevision, change.lastChangeRevision());
     Set<String> evacuated = new HashSet<>();
-    if (old != null && !change.fullSnapshot()) {
-      evacuated.addAll(old.evacuated());
+    if (previous != null && !change.fullSnapshot()) {
+      evacuated.addAll(previous.evacuated());
     }
     change
         .evacuations()
         .forEach(
-            (dc, out) -> {
-              if (out) {
-                evacuated.add(dc);
+            (evacuationKey, isEvacuated) -> {
+              if (isEvacuated) {
+                evacuated.add(evacuationKey);
               } else {
-                evacuated.remove(dc);
+                evacuated.remove(evacuationKey);
               }
             });
-    SiteConfiguration next = merge(old, change, evacuated);
+    SiteConfiguration next = merge(previous, change, evacuated);
     if (next == null) {
       return;
     }
     activeConfiguration = next;
-    cursor = Math.max(cursor, next.revision());
-    boolean newRules = old == null || old.version() != next.version();
-    if (newRules) {
+    watchRevision = Math.max(watchRevision, next.revision());
+    boolean rulesChanged = previous == null || previous.version() != next.version();
+    if (rulesChanged) {
       routeMatcher = new RouteMatcher(next.routes());
     }
-    if (old == null || newRules || !old.evacuated().equals(evacuated)) {
+    if (previous == null || rulesChanged || !previous.evacuated().equals(evacuated)) {
       log.event("configuration")
           .with("version", next.version())
           .with("revision", next.revision())
           .with("evacuated", evacuated.toString())
           .write();
-      changed.run();
+      changeListener.run();
     }
-    if (old != null || !change.fullSnapshot()) {
-      news.accept(new ConfigurationSnapshot(next, lastChangeRevision));
+    if (previous != null || !change.fullSnapshot()) {
+      snapshotListener.accept(new ConfigurationSnapshot(next, lastChangeRevision));
     }
   }
 
   private static @Nullable SiteConfiguration merge(
-      @Nullable SiteConfiguration old, ConfigurationChange change, Set<String> evacuated) {
+      @Nullable SiteConfiguration previous, ConfigurationChange change, Set<String> evacuated) {
     if (change.rules().isPresent()
-        && (old == null || change.rules().get().version() > old.version())) {
-      ConfigurationChange.RoutingRules r = change.rules().get();
+        && (previous == null || change.rules().get().version() > previous.version())) {
+      ConfigurationChange.RoutingRules routingRules = change.rules().get();
       return new SiteConfiguration(
-          change.revision(), r.version(), r.routes(), r.services(), r.limits(), evacuated);
+          change.revision(),
+          routingRules.version(),
+          routingRules.routes(),
+          routingRules.services(),
+          routingRules.limits(),
+          evacuated);
     }
-    if (old == null) {
+    if (previous == null) {
       return null;
     }
     return new SiteConfiguration(
-        change.revision(), old.version(), old.routes(), old.services(), old.limits(), evacuated);
+        change.revision(),
+        previous.version(),
+        previous.routes(),
+        previous.services(),
+        previous.limits(),
+        evacuated);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
@@ -19,20 +19,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * What this host believes of other hosts: it registers itself, learns who is registered, and
- * gossips about who is alive. Confined to the event loop.
+ * Tracks the other hosts of the site: registers this host, reads the registrations of others, and
+ * gossips about which hosts are alive. Confined to the event loop.
  */
 public final class HostsController {
-  private static final long ROUND_MS = 400;
-  private static final int TOLD_EACH_ROUND = 3;
-  private static final int TOLD_WHEN_LEAVING = 16;
-  private static final int MOST_PULSES = 80;
-  private static final int MOST_NEWS = 8;
-  private static final long NEWS_MS = 6_000;
-  private static final long RETRY_MS = 400;
-  private static final long SETTLE_MS = 1_500;
-  private static final int TOLD_OF_CHANGE = 3;
-  private static final ConfigurationReaders READERS = new ConfigurationReaders(6);
+  private static final long GOSSIP_INTERVAL_MS = 400;
+  private static final int GOSSIP_FANOUT = 3;
+  private static final int LEAVING_FANOUT = 16;
+  private static final int MAX_HEARTBEATS = 80;
+  private static final int MAX_STARTED_HOSTS = 8;
+  private static final long RECENT_START_MS = 6_000;
+  private static final long REGISTER_RETRY_MS = 400;
+  private static final long STARTUP_SETTLE_MS = 1_500;
+  private static final int CONFIGURATION_FANOUT = 3;
+  private static final ConfigurationReaders CONFIGURATION_READERS = new ConfigurationReaders(6);
 
   private final EventLoop loop;
   private final LongSupplier clock;
@@ -43,25 +43,25 @@
   private final ConfigurationController configuration;
   private final HostRegistration self;
   private final Random random;
-  private final BooleanSupplier informed;
-  private final BooleanSupplier knowing;
-  private long startedMs;
+  private final BooleanSupplier reachesStore;
+  private final BooleanSupplier knowsUpstreams;
+  private long startedAtMs;
   private boolean registered;
 
   /**
    * Creates a controller.
    *
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where changes are told
-   * @param store where hosts are registered
-   * @param peers what is known of other hosts
-   * @param link the way to other hosts
-   * @param configuration whose revision is told along
-   * @param self this host's entry
-   * @param random chooses what is told
-   * @param informed whether this host reaches the store
-   * @param knowing whether this host has read the upstreams
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs changes
+   * @param store the store that hosts register in
+   * @param peers membership state of all hosts
+   * @param link sends messages to other hosts
+   * @param configuration the configuration whose revision is gossiped
+   * @param self this host's registration
+   * @param random chooses which heartbeats are sent when there are too many
+   * @param reachesStore whether this host reaches the store
+   * @param knowsUpstreams whether this host has read the upstreams
    */
   public HostsController(
       EventLoop loop,
@@ -73,8 +73,8 @@
       ConfigurationController configuration,
       HostRegistration self,
       Random random,
-      BooleanSupplier informed,
-      BooleanSupplier knowing) {
+      BooleanSupplier reachesStore,
+      BooleanSupplier knowsUpstreams) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
@@ -84,129 +84,131 @@
     this.configuration = configuration;
     this.self = self;
     this.random = random;
-    this.informed = informed;
-    this.knowing = knowing;
+    this.reachesStore = reachesStore;
+    this.knowsUpstreams = knowsUpstreams;
   }
 
-  /** Registers this host, and begins to gossip once that is done. */
+  /** Registers this host, and starts to gossip once it is registered. */
   public void start() {
-    startedMs = clock.getAsLong();
-    peers.recordStart(self, startedMs);
+    startedAtMs = clock.getAsLong();
+    peers.recordStart(self, startedAtMs);
     register();
-    loop.schedule(configuration::updateReaderRole, SETTLE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(configuration::updateReaderRole, STARTUP_SETTLE_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Tells whether this host follows the store's configuration. Right after its start it does not:
-   * it has read the configuration, and doesn't know yet who else is there.
+   * Returns whether this host watches the configuration in the store. It does not right after its
+   * start, when it has read the configuration but does not know the other hosts yet.
    *
-   * @return true for a reader, and for a host that other hosts can't tell of changes
+   * @return true if this host is chosen as a reader, or is not registered, so that other hosts
+   *     cannot announce changes to it
    */
   public boolean isConfigurationReader() {
     long now = clock.getAsLong();
-    if (now - startedMs < SETTLE_MS) {
+    if (now - startedAtMs < STARTUP_SETTLE_MS) {
       return false;
     }
-    return !registered || READERS.isReader(self, peers.reachingStore(now));
+    return !registered || CONFIGURATION_READERS.isReader(self, peers.reachingStore(now));
   }
 
   /**
-   * Tells other hosts of a change of the configuration.
+   * Sends a changed configuration to other hosts.
    *
-   * @param known the configuration with the change
+   * @param snapshot the changed configuration
    */
-  public void announceConfiguration(ConfigurationSnapshot known) {
-    var message = new LinkMessage.ConfigurationUpdate(known);
+  public void announceConfiguration(ConfigurationSnapshot snapshot) {
+    var message = new LinkMessage.ConfigurationUpdate(snapshot);
     peers
-        .localTargets(TOLD_OF_CHANGE, clock.getAsLong())
-        .forEach(e -> link.send(message, e.linkAddress()));
+        .localTargets(CONFIGURATION_FANOUT, clock.getAsLong())
+        .forEach(host -> link.send(message, host.linkAddress()));
   }
 
   /**
-   * Answers a host that asks for the configuration, if this one has a newer one.
+   * Replies to a configuration query if this host has a newer configuration.
    *
-   * @param wanted the message
+   * @param query the message
    * @param from its sender
    */
-  public void onConfigurationQuery(LinkMessage.ConfigurationQuery wanted, Address from) {
+  public void onConfigurationQuery(LinkMessage.ConfigurationQuery query, Address from) {
     configuration
         .snapshot()
-        .filter(k -> k.configuration().revision() > wanted.knownRevision())
-        .ifPresent(k -> link.send(new LinkMessage.ConfigurationUpdate(k), from));
+        .filter(newer -> newer.configuration().revision() > query.knownRevision())
+        .ifPresent(newer -> link.send(new LinkMessage.ConfigurationUpdate(newer), from));
   }
 
   private void register() {
     store
         .register(self)
         .thenCompose(
-            entry -> {
-              peers.recordStart(entry, clock.getAsLong());
+            registration -> {
+              peers.recordStart(registration, clock.getAsLong());
               return store.readHosts();
             })
         .whenComplete(
-            (all, failure) -> {
+            (registrations, failure) -> {
               if (failure != null) {
                 log.event("register_failed")
                     .with("cause", String.valueOf(failure.getMessage()))
                     .write();
-                loop.schedule(this::register, RETRY_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::register, REGISTER_RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
               }
-              all.forEach(e -> peers.recordStart(e, clock.getAsLong()));
-              log.event("registered").with("hosts", all.size()).write();
+              registrations.forEach(host -> peers.recordStart(host, clock.getAsLong()));
+              log.event("registered").with("hosts", registrations.size()).write();
               registered = true;
-              round();
-              loop.scheduleAtFixedRate(this::round, ROUND_MS, ROUND_MS, TimeUnit.MILLISECONDS);
+              gossipRound();
+              loop.scheduleAtFixedRate(
+                  this::gossipRound, GOSSIP_INTERVAL_MS, GOSSIP_INTERVAL_MS, TimeUnit.MILLISECONDS);
             });
   }
 
-  /** Tells other hosts that this one gets no new callers. */
+  /** Announces to other hosts that this one accepts no new callers. */
   public void announceLeaving() {
     peers.markLeaving();
-    tell(TOLD_WHEN_LEAVING);
+    sendGossip(LEAVING_FANOUT);
   }
 
   /**
-   * Takes in another host's gossip.
+   * Handles gossip of another host.
    *
-   * @param beat the message
+   * @param gossip the message
    * @param from its sender
    */
-  public void onGossip(LinkMessage.Gossip beat, Address from) {
+  public void onGossip(LinkMessage.Gossip gossip, Address from) {
     long now = clock.getAsLong();
-    for (HostRegistration e : beat.recentlyStarted()) {
-      if (peers.recordStart(e, now)) {
+    for (HostRegistration host : gossip.startedHosts()) {
+      if (peers.recordStart(host, now)) {
         log.event("host")
-            .with("name", e.name())
-            .with("data_centre", e.dataCentre())
-            .with("incarnation", e.incarnation())
+            .with("name", host.name())
+            .with("data_centre", host.dataCentre())
+            .with("incarnation", host.incarnation())
             .write();
       }
     }
-    peers.mergeHeartbeats(beat.heartbeats(), now);
+    peers.mergeHeartbeats(gossip.heartbeats(), now);
     configuration.onRevisionAnnounced(
-        beat.configurationRevision(),
-        after -> link.send(new LinkMessage.ConfigurationQuery(after), from));
+        gossip.configurationRevision(),
+        knownRevision -> link.send(new LinkMessage.ConfigurationQuery(knownRevision), from));
   }
 
-  private void round() {
+  private void gossipRound() {
     configuration.updateReaderRole();
-    tell(TOLD_EACH_ROUND);
+    sendGossip(GOSSIP_FANOUT);
   }
 
-  private void tell(int count) {
+  private void sendGossip(int fanout) {
     long now = clock.getAsLong();
-    List<HeartbeatState> pulses =
-        peers.startRound(informed.getAsBoolean(), knowing.getAsBoolean(), now);
-    if (pulses.size() > MOST_PULSES) {
-      Collections.shuffle(pulses.subList(1, pulses.size()), random);
-      pulses = pulses.subList(0, MOST_PULSES);
+    List<HeartbeatState> states =
+        peers.startRound(reachesStore.getAsBoolean(), knowsUpstreams.getAsBoolean(), now);
+    if (states.size() > MAX_HEARTBEATS) {
+      Collections.shuffle(states.subList(1, states.size()), random);
+      states = states.subList(0, MAX_HEARTBEATS);
     }
-    var beat =
+    var gossip =
         new LinkMessage.Gossip(
             configuration.lastChangeRevision(),
-            peers.recentlyStarted(NEWS_MS, MOST_NEWS, now),
-            pulses);
-    peers.gossipTargets(count, now).forEach(e -> link.send(beat, e.linkAddress()));
+            peers.recentlyStarted(RECENT_START_MS, MAX_STARTED_HOSTS, now),
+            states);
+    peers.gossipTargets(fanout, now).forEach(host -> link.send(gossip, host.linkAddress()));
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
@@ -19,45 +19,46 @@
 import java.util.function.Supplier;
 
 /**
- * What this host believes of upstreams.
+ * Tracks the upstreams that are registered in the store.
  *
- * <p>The entries are read at short intervals while this host places requests, and only then. An
- * entry that is missing right after the store was away is used on for a short while, because
- * upstreams whose entries lapsed meanwhile announce themselves again. Confined to the event loop.
+ * <p>Registrations are polled at short intervals, but only while this host places requests. A
+ * registration that is missing right after a store outage is kept for a short time, because
+ * registrations expire during an outage and upstreams then register again. Confined to the event
+ * loop.
  */
 public final class UpstreamsController {
-  private static final long POLL_MS = 700;
-  private static final long FRESH_MS = 1_000;
-  private static final long STALE_MS = 1_300;
-  private static final long USED_MS = 4_000;
-  private static final long READ_PATIENCE_MS = 150;
-  private static final long LAPSE_MS = 2_200;
+  private static final long POLL_INTERVAL_MS = 700;
+  private static final long FRESHNESS_MS = 1_000;
+  private static final long STALE_AFTER_MS = 1_300;
+  private static final long POLL_AFTER_USE_MS = 4_000;
+  private static final long MAX_READ_WAIT_MS = 150;
+  private static final long LAPSED_RETENTION_MS = 2_200;
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private static final long OUTAGE_MEMORY_MS = 3_000;
+  private static final long RECENT_OUTAGE_MS = 3_000;
 
   private final EventLoop loop;
   private final LongSupplier clock;
   private final EventLog log;
   private final SiteStore store;
   private final Supplier<Optional<SiteConfiguration>> configuration;
-  private final Map<String, Known> known = new HashMap<>();
-  private final List<Runnable> waiting = new ArrayList<>();
-  private Runnable changed = () -> {};
+  private final Map<String, KnownUpstream> upstreams = new HashMap<>();
+  private final List<Runnable> waitingTasks = new ArrayList<>();
+  private Runnable changeListener = () -> {};
   private long revision = -1;
-  private long readAtMs = NEVER;
-  private long usedAtMs = Long.MIN_VALUE / 2;
-  private long failedAtMs = Long.MIN_VALUE / 2;
-  private boolean reading;
-  private boolean polling;
+  private long lastReadAtMs = NEVER;
+  private long lastUsedAtMs = Long.MIN_VALUE / 2;
+  private long lastFailureAtMs = Long.MIN_VALUE / 2;
+  private boolean readInProgress;
+  private boolean pollScheduled;
 
   /**
    * Creates a controller that knows no upstreams.
    *
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where changes of belief are told
-   * @param store where upstreams announce themselves
-   * @param configuration the configuration in force
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs changes of upstreams
+   * @param store the store that upstreams register in
+   * @param configuration supplies the configuration in force
    */
   public UpstreamsController(
       EventLoop loop,
@@ -73,89 +74,91 @@
   }
 
   /**
-   * Sets what runs after each change.
+   * Sets the listener that runs after each change.
    *
    * @param listener runs on the event loop
    */
   public void onChange(Runnable listener) {
-    changed = listener;
+    changeListener = listener;
   }
 
-  /** Tells that the configuration in force has changed. */
+  /** Handles a change of the configuration in force. */
   public void onConfigurationChanged() {
-    changed.run();
+    changeListener.run();
   }
 
   /**
-   * Runs something once the entries are fresh, or can't be read.
+   * Runs a task once the registrations are fresh or cannot be read in time.
    *
-   * @param task what to run
+   * @param task the task to run
    */
   public void runWhenFresh(Runnable task) {
     long now = clock.getAsLong();
-    usedAtMs = now;
-    if (now - readAtMs < FRESH_MS || now - failedAtMs < FRESH_MS) {
-      pollLater();
+    lastUsedAtMs = now;
+    if (now - lastReadAtMs < FRESHNESS_MS || now - lastFailureAtMs < FRESHNESS_MS) {
+      schedulePoll();
       task.run();
       return;
     }
-    waiting.add(task);
-    if (waiting.size() == 1) {
-      loop.schedule(this::runWaiting, READ_PATIENCE_MS, TimeUnit.MILLISECONDS);
+    waitingTasks.add(task);
+    if (waitingTasks.size() == 1) {
+      loop.schedule(this::runWaitingTasks, MAX_READ_WAIT_MS, TimeUnit.MILLISECONDS);
     }
     read();
   }
 
   /**
-   * Tells whether what is believed is older than an upstream's leaving may go unnoticed.
+   * Returns whether the registrations are so old that an upstream may have left unnoticed.
    *
-   * @return true when the entries could not be read lately
+   * @return true if the registrations have not been read recently
    */
   public boolean isStale() {
-    return clock.getAsLong() - readAtMs > STALE_MS;
+    return clock.getAsLong() - lastReadAtMs > STALE_AFTER_MS;
   }
 
   /**
-   * Tells whether nothing is known of upstreams.
+   * Returns whether the registrations have never been read.
    *
-   * @return true until the entries are read for the first time
+   * @return true until the first successful read
    */
   public boolean isNeverRead() {
-    return readAtMs == NEVER;
+    return lastReadAtMs == NEVER;
   }
 
   /**
-   * Tells whether the last read of the entries failed.
+   * Returns whether the last read of the registrations failed.
    *
    * @return true until a read succeeds
    */
   public boolean isStoreFailing() {
-    return failedAtMs > readAtMs;
+    return lastFailureAtMs > lastReadAtMs;
   }
 
   /**
-   * Lists the upstreams that may get work.
+   * Returns the upstreams that may receive requests.
    *
    * @param service the service's name
-   * @return their entries, with how long each is cold from now
+   * @return their registrations with the remaining warmup from now
    */
   public List<UpstreamRegistration> usableUpstreams(String service) {
     long now = clock.getAsLong();
-    List<UpstreamRegistration> out = new ArrayList<>();
-    for (Known k : known.values()) {
-      UpstreamRegistration e = k.entry;
-      if (e.service().equals(service) && !e.leaving() && !evacuated(e.dataCentre())) {
-        out.add(coldFrom(e, Math.max(0, k.coldUntilMs - now)));
+    List<UpstreamRegistration> usable = new ArrayList<>();
+    for (KnownUpstream knownUpstream : upstreams.values()) {
+      UpstreamRegistration upstream = knownUpstream.registration;
+      if (upstream.service().equals(service)
+          && !upstream.leaving()
+          && !isEvacuated(upstream.dataCentre())) {
+        usable.add(withWarmupRemaining(upstream, Math.max(0, knownUpstream.warmupEndsAtMs - now)));
       }
     }
-    return out;
+    return usable;
   }
 
   /**
-   * Returns what operators say of a service.
+   * Returns the settings of a service.
    *
    * @param service the service's name
-   * @return the rule; one for a service without cold upstreams if operators say nothing
+   * @return the settings; defaults without warmup if the service is not configured
    */
   public ServiceSettings serviceSettings(String service) {
     return configuration
@@ -164,78 +167,79 @@
         .orElseGet(() -> new ServiceSettings(service, "", 1, 0, 0));
   }
 
-  private boolean evacuated(String dataCentre) {
+  private boolean isEvacuated(String dataCentre) {
     return configuration.get().map(c -> c.evacuated().contains(dataCentre)).orElse(false);
   }
 
-  private static UpstreamRegistration coldFrom(UpstreamRegistration e, long coldForMs) {
+  private static UpstreamRegistration withWarmupRemaining(
+      UpstreamRegistration upstream, long remainingMs) {
     return new UpstreamRegistration(
-        e.id(),
-        e.service(),
-        e.address(),
-        e.dataCentre(),
-        e.slots(),
-        e.leaving(),
-        coldForMs,
-        e.startedAtMs());
+        upstream.id(),
+        upstream.service(),
+        upstream.address(),
+        upstream.dataCentre(),
+        upstream.slots(),
+        upstream.leaving(),
+        remainingMs,
+        upstream.startedAtMs());
   }
 
-  private void pollLater() {
-    if (!polling) {
-      polling = true;
-      loop.schedule(this::poll, POLL_MS, TimeUnit.MILLISECONDS);
+  private void schedulePoll() {
+    if (!pollScheduled) {
+      pollScheduled = true;
+      loop.schedule(this::poll, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void poll() {
-    polling = false;
-    if (clock.getAsLong() - usedAtMs < USED_MS) {
+    pollScheduled = false;
+    if (clock.getAsLong() - lastUsedAtMs < POLL_AFTER_USE_MS) {
       read();
-      pollLater();
+      schedulePoll();
     }
   }
 
   private void read() {
-    if (reading) {
+    if (readInProgress) {
       return;
     }
-    reading = true;
+    readInProgress = true;
     CompletableFuture<UpstreamChange> call =
         revision < 0 ? store.readUpstreams() : store.readUpstreamChanges(revision);
     call.whenComplete(
         (change, failure) -> {
-          reading = false;
+          readInProgress = false;
           if (failure == null) {
             apply(change);
           } else {
-            failed(failure);
+            onReadFailed(failure);
           }
-          runWaiting();
+          runWaitingTasks();
         });
   }
 
-  private void failed(Throwable failure) {
-    if (failure instanceof StoreException f
-        && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
+  private void onReadFailed(Throwable failure) {
+    if (failure instanceof StoreException storeException
+        && storeException.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       revision = -1;
       read();
       return;
     }
     long now = clock.getAsLong();
-    if (now - failedAtMs > OUTAGE_MEMORY_MS) {
+    if (now - lastFailureAtMs > RECENT_OUTAGE_MS) {
       log.event("upstreams_unread")
           .with("cause", String.valueOf(failure.getMessage()))
-          .with("age_ms", now - readAtMs)
+          .with("age_ms", now - lastReadAtMs)
           .write();
     }
-    failedAtMs = now;
+    lastFailureAtMs = now;
   }
 
-  private void runWaiting() {
-    List<Runnable> tasks = List.copyOf(waiting);
-    waiting.clear();
+  private void runWaitingTasks() {
+    List<Runnable> tasks = List.copyOf(waitingTasks);
+    waitingTasks.clear();
     if (!tasks.isEmpty()) {
-      pollLater();
+      schedulePoll();
     }
     tasks.forEach(Runnable::run);
   }
@@ -243,72 +247,75 @@
   private void apply(UpstreamChange change) {
     long now = clock.getAsLong();
     revision = change.revision();
-    readAtMs = now;
+    lastReadAtMs = now;
     change
         .registrations()
-        .forEach((id, e) -> e.ifPresentOrElse(x -> announced(x, now), () -> missing(id, now)));
+        .forEach(
+            (id, announced) ->
+                announced.ifPresentOrElse(
+                    present -> onAnnounced(present, now), () -> onMissing(id, now)));
     if (change.fullSnapshot()) {
-      for (String id : List.copyOf(known.keySet())) {
+      for (String id : List.copyOf(upstreams.keySet())) {
         if (!change.registrations().containsKey(id)) {
-          missing(id, now);
+          onMissing(id, now);
         }
       }
     }
-    known.values().removeIf(k -> k.gone(now));
-    changed.run();
+    upstreams.values().removeIf(knownUpstream -> knownUpstream.isExpired(now));
+    changeListener.run();
   }
 
-  private void announced(UpstreamRegistration e, long now) {
-    Known old = known.get(e.id());
-    if (old != null && e.startedAtMs() < old.entry.startedAtMs()) {
+  private void onAnnounced(UpstreamRegistration upstream, long now) {
+    KnownUpstream previous = upstreams.get(upstream.id());
+    if (previous != null && upstream.startedAtMs() < previous.registration.startedAtMs()) {
       return;
     }
-    boolean material =
-        old == null
-            || !e.isSameIncarnation(old.entry)
-            || e.leaving() != old.entry.leaving()
-            || !e.address().equals(old.entry.address());
-    if (material) {
+    boolean significant =
+        previous == null
+            || !upstream.isSameIncarnation(previous.registration)
+            || upstream.leaving() != previous.registration.leaving()
+            || !upstream.address().equals(previous.registration.address());
+    if (significant) {
       log.event("upstream")
-          .with("id", e.id())
-          .with("service", e.service())
-          .with("address", e.address().toString())
-          .with("data_centre", e.dataCentre())
-          .with("state", e.leaving() ? "leaving" : "serving")
-          .with("cold_ms", e.warmupRemainingMs())
+          .with("id", upstream.id())
+          .with("service", upstream.service())
+          .with("address", upstream.address().toString())
+          .with("data_centre", upstream.dataCentre())
+          .with("state", upstream.leaving() ? "leaving" : "serving")
+          .with("cold_ms", upstream.warmupRemainingMs())
           .with("revision", revision)
           .write();
     }
-    known.put(e.id(), new Known(e, now + e.warmupRemainingMs()));
+    upstreams.put(upstream.id(), new KnownUpstream(upstream, now + upstream.warmupRemainingMs()));
   }
 
-  private void missing(String id, long now) {
-    Known k = known.get(id);
-    if (k == null || k.goneAtMs != Long.MAX_VALUE) {
+  private void onMissing(String id, long now) {
+    KnownUpstream knownUpstream = upstreams.get(id);
+    if (knownUpstream == null || knownUpstream.removeAtMs != Long.MAX_VALUE) {
       return;
     }
-    boolean lapsed = now - failedAtMs < OUTAGE_MEMORY_MS;
-    k.goneAtMs = lapsed ? now + LAPSE_MS : now;
+    boolean duringOutage = now - lastFailureAtMs < RECENT_OUTAGE_MS;
+    knownUpstream.removeAtMs = duringOutage ? now + LAPSED_RETENTION_MS : now;
     log.event("upstream")
         .with("id", id)
-        .with("service", k.entry.service())
-        .with("state", lapsed ? "lapsed" : "gone")
+        .with("service", knownUpstream.registration.service())
+        .with("state", duringOutage ? "lapsed" : "gone")
         .with("revision", revision)
         .write();
   }
 
-  private static final class Known {
-    private final UpstreamRegistration entry;
-    private final long coldUntilMs;
-    private long goneAtMs = Long.MAX_VALUE;
+  private static final class KnownUpstream {
+    private final UpstreamRegistration registration;
+    private final long warmupEndsAtMs;
+    private long removeAtMs = Long.MAX_VALUE;
 
-    Known(UpstreamRegistration entry, long coldUntilMs) {
-      this.entry = entry;
-      this.coldUntilMs = coldUntilMs;
+    KnownUpstream(UpstreamRegistration registration, long warmupEndsAtMs) {
+      this.registration = registration;
+      this.warmupEndsAtMs = warmupEndsAtMs;
     }
 
-    boolean gone(long nowMs) {
-      return nowMs >= goneAtMs;
+    boolean isExpired(long nowMs) {
+      return nowMs >= removeAtMs;
     }
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/package-info.java
@@ -1,4 +1,4 @@
-/** Controllers: what the host believes of the configuration, upstreams and other hosts. */
+/** Controllers that track the configuration, upstreams and other hosts. */
 @NullMarked
 package dev.cactusstack.gateway.control;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLine.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLine.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.gateway.observe;
 
-/** One log line being built. Confined to one thread. */
+/** Builder of one log line. Confined to one thread. */
 public final class EventLine {
   private final EventLog log;
   private final StringBuilder line = new StringBuilder(128);
@@ -11,26 +11,26 @@
   }
 
   /**
-   * Adds a pair.
+   * Adds a key-value pair.
    *
-   * @param key the key, a plain word
+   * @param key the key, one word that needs no quoting
    * @param value the value
    * @return this line
    */
   public EventLine with(String key, String value) {
     line.append(' ').append(key).append('=');
-    if (plain(value)) {
+    if (isPlain(value)) {
       line.append(value);
     } else {
-      quote(value);
+      appendQuoted(value);
     }
     return this;
   }
 
   /**
-   * Adds a pair.
+   * Adds a key-value pair.
    *
-   * @param key the key, a plain word
+   * @param key the key, one word that needs no quoting
    * @param value the value
    * @return this line
    */
@@ -39,25 +39,25 @@
     return this;
   }
 
-  /** Ends the line. */
+  /** Completes the line and hands it to the log. */
   public void write() {
-    log.offer(line.toString());
+    log.enqueue(line.toString());
   }
 
-  private static boolean plain(String v) {
-    for (int i = 0; i < v.length(); i++) {
-      char c = v.charAt(i);
+  private static boolean isPlain(String text) {
+    for (int i = 0; i < text.length(); i++) {
+      char c = text.charAt(i);
       if (c <= ' ' || c >= 0x7f || c == '"' || c == '=' || c == '\\') {
         return false;
       }
     }
-    return !v.isEmpty();
+    return !text.isEmpty();
   }
 
-  private void quote(String v) {
+  private void appendQuoted(String text) {
     line.append('"');
-    for (int i = 0; i < v.length(); i++) {
-      char c = v.charAt(i);
+    for (int i = 0; i < text.length(); i++) {
+      char c = text.charAt(i);
       if (c == '"' || c == '\\') {
         line.append('\\').append(c);
       } else {
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
@@ -15,24 +15,25 @@
  * Writes one line of {@code key=value} pairs for each event.
  *
  * <p>Lines go through a bounded ring to a thread that writes them in batches; when the ring is
- * full, lines are dropped and counted, so that a slow reader never delays a request. Thread-safe.
+ * full, lines are dropped and counted, so a slow reader of the log never delays a request.
+ * Thread-safe.
  */
 public final class EventLog implements AutoCloseable {
   private static final int RING_LINES = 2_048;
-  private static final long PAUSE_NANOS = 200_000_000;
+  private static final long FLUSH_INTERVAL_NANOS = 200_000_000;
 
   private final RingBuffer<Slot> ring = RingBuffer.createMultiProducer(Slot::new, RING_LINES);
   private final EventPoller<Slot> poller = ring.newPoller();
-  private final AtomicLong droppedLineCount = new AtomicLong();
+  private final AtomicLong droppedSinceFlush = new AtomicLong();
   private final OutputStream out;
   private final StringBuilder batch = new StringBuilder();
-  private volatile long droppedEver;
+  private volatile long droppedTotal;
   private volatile boolean closed;
 
   /**
    * Creates a log.
    *
-   * @param out where lines go
+   * @param out receives the lines
    */
   public EventLog(OutputStream out) {
     this.out = out;
@@ -46,7 +47,7 @@
    */
   public static EventLog standardOutput() {
     var log = new EventLog(new FileOutputStream(FileDescriptor.out));
-    var writer = new Thread(log::run, "log");
+    var writer = new Thread(log::flushUntilClosed, "log");
     writer.setDaemon(true);
     writer.start();
     return log;
@@ -55,42 +56,42 @@
   /**
    * Starts a line.
    *
-   * @param event what happened, one word
-   * @return the line; nothing is written before {@link EventLine#write}
+   * @param event the name of the event, one word
+   * @return the line, which is not logged until {@link EventLine#write} is called
    */
   public EventLine event(String event) {
     return new EventLine(this, event);
   }
 
   /**
-   * Counts the lines that were dropped.
+   * Returns the number of lines dropped so far.
    *
-   * @return the count, as of the last time that lines were written
+   * @return the count as of the last flush
    */
   public long droppedLineCount() {
-    return droppedEver;
+    return droppedTotal;
   }
 
-  /** Offers a finished line. */
-  void offer(String line) {
+  /** Enqueues a complete line, or drops it when the ring is full. */
+  void enqueue(String line) {
     long time = System.currentTimeMillis();
     if (!ring.tryPublishEvent((slot, sequence) -> slot.set(time, line))) {
-      droppedLineCount.incrementAndGet();
+      droppedSinceFlush.incrementAndGet();
     }
   }
 
-  /** Writes what lies in the ring. Called by one thread at a time. */
+  /** Writes all lines that are in the ring. Runs in one thread at a time. */
   public synchronized void flush() {
     try {
       poller.poll(this::append);
-      long lost = droppedLineCount.getAndSet(0);
-      droppedEver += lost;
-      if (lost > 0) {
+      long newlyDropped = droppedSinceFlush.getAndSet(0);
+      droppedTotal += newlyDropped;
+      if (newlyDropped > 0) {
         batch
             .append("time=")
             .append(Instant.now())
             .append(" event=log_dropped lines=")
-            .append(lost)
+            .append(newlyDropped)
             .append(" remedy=\"read standard output faster\"\n");
       }
       if (batch.length() > 0) {
@@ -98,7 +99,7 @@
         batch.setLength(0);
       }
     } catch (IOException e) {
-      // Nobody reads standard output any more; there is nowhere left to say so.
+      // Standard output is closed, so the failure cannot be logged either.
       batch.setLength(0);
     } catch (Exception e) {
       throw new IllegalStateException(e);
@@ -111,10 +112,10 @@
     return true;
   }
 
-  private void run() {
+  private void flushUntilClosed() {
     while (!closed) {
       flush();
-      LockSupport.parkNanos(PAUSE_NANOS);
+      LockSupport.parkNanos(FLUSH_INTERVAL_NANOS);
     }
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/GatewayMetrics.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/GatewayMetrics.java
@@ -5,40 +5,40 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts what the host does. Counting costs an addition; {@link PrometheusFormat} turns the counts
- * into metrics when somebody asks for them.
+ * Collects the metrics of a host. Recording only increments counters; {@link PrometheusFormat}
+ * formats them when metrics are requested.
  *
- * <p>Invariant: at most {@value #MOST_ROUTES} routes are told apart, further ones are counted
- * together. Confined to the event loop.
+ * <p>Invariant: at most {@value #MAX_ROUTES} routes are counted separately, further routes are
+ * counted together. Confined to the event loop.
  */
 public final class GatewayMetrics {
   static final int MAX_ROUTES = 200;
-  private static final String OTHER = "other";
+  private static final String OTHER_ROUTES = "other";
 
   private final Map<String, RouteMetrics> routes = new LinkedHashMap<>();
   private final Map<String, Counter> counters = new LinkedHashMap<>();
 
   /**
-   * Returns the counts of a route.
+   * Returns the metrics of a route.
    *
    * @param name the route's name
-   * @return its counts, or those of all routes beyond the bound
+   * @return its metrics, or the common metrics of all routes beyond the limit
    */
   public RouteMetrics route(String name) {
-    RouteMetrics known = routes.get(name);
-    if (known != null) {
-      return known;
+    RouteMetrics existing = routes.get(name);
+    if (existing != null) {
+      return existing;
     }
-    String counted = routes.size() < MAX_ROUTES ? name : OTHER;
-    return routes.computeIfAbsent(counted, n -> new RouteMetrics());
+    String metricName = routes.size() < MAX_ROUTES ? name : OTHER_ROUTES;
+    return routes.computeIfAbsent(metricName, n -> new RouteMetrics());
   }
 
   /**
-   * Adds a number that only grows and is read when metrics are asked for.
+   * Registers a counter whose value is read when metrics are requested.
    *
    * @param name the metric's name, with underscores
-   * @param help what it counts
-   * @param value reads it
+   * @param help the metric's description
+   * @param value supplies the current value, which never decreases
    */
   public void registerCounter(String name, String help, LongSupplier value) {
     counters.put(name, new Counter(help, value));
@@ -52,6 +52,6 @@
     return counters;
   }
 
-  /** A number that only grows. */
+  /** A monotonically increasing value. */
   record Counter(String help, LongSupplier value) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/LatencyHistogram.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/LatencyHistogram.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** A histogram of times. Confined to the event loop. */
+/** A histogram of durations. Confined to the event loop. */
 public final class LatencyHistogram {
-  /** Upper bounds of the buckets, in milliseconds; a last bucket takes what is longer. */
+  /** Upper bounds of the buckets, in milliseconds; one more bucket counts longer durations. */
   static final List<Integer> BOUNDS_MS =
       List.of(1, 2, 5, 10, 20, 50, 100, 150, 200, 300, 400, 600, 1_000, 2_000, 5_000);
 
   private final long[] counts = new long[BOUNDS_MS.size() + 1];
   private long sumMs;
 
-  void add(long ms) {
+  void observe(long durationMs) {
     int i = 0;
-    while (i < BOUNDS_MS.size() && ms > BOUNDS_MS.get(i)) {
+    while (i < BOUNDS_MS.size() && durationMs > BOUNDS_MS.get(i)) {
       i++;
     }
     counts[i]++;
-    sumMs += ms;
+    sumMs += durationMs;
   }
 
   long count(int bucket) {
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/PrometheusFormat.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/PrometheusFormat.java
@@ -15,8 +15,8 @@
 import java.util.function.Function;
 
 /**
- * Writes figures in the Prometheus text format. Only this class uses the metrics library, so that a
- * host that nobody asks for metrics does not load it. Stateless.
+ * Formats metrics in the Prometheus text format. Only this class uses the metrics library, so a
+ * host whose metrics are never requested does not load it. Stateless.
  */
 public final class PrometheusFormat {
   /** The media type of the text. */
@@ -27,59 +27,60 @@
   private PrometheusFormat() {}
 
   /**
-   * Writes figures.
+   * Formats metrics.
    *
-   * @param f the figures
+   * @param gatewayMetrics the metrics
    * @return the text as UTF-8
    */
-  public static byte[] format(GatewayMetrics f) {
+  public static byte[] format(GatewayMetrics gatewayMetrics) {
     List<MetricSnapshot> metrics = new ArrayList<>();
     metrics.add(
         histogram(
-            f,
+            gatewayMetrics,
             "cactusstack_request_seconds",
-            "From a request's arrival to an upstream's whole answer",
-            RouteMetrics::recordAnsweredRequest));
+            "Time from a request's arrival to the complete response of an upstream",
+            RouteMetrics::requestLatency));
     metrics.add(
         histogram(
-            f,
+            gatewayMetrics,
             "cactusstack_queue_seconds",
-            "From a request's arrival until an attempt is sent",
-            RouteMetrics::waited));
+            "Time from a request's arrival until an attempt is sent",
+            RouteMetrics::queueLatency));
     metrics.add(
         counter(
-            f,
+            gatewayMetrics,
             "cactusstack_attempts",
-            "Attempts by how they ended",
+            "Attempts by outcome",
             "end",
-            RouteMetrics::attempts));
+            RouteMetrics::attemptsByOutcome));
     metrics.add(
         counter(
-            f,
+            gatewayMetrics,
             "cactusstack_refusals",
-            "Requests without an upstream's answer, by reason",
+            "Requests without an upstream's response, by reason",
             "why",
-            RouteMetrics::refusals));
+            RouteMetrics::refusalsByReason));
     metrics.add(
         counter(
-            f,
+            gatewayMetrics,
             "cactusstack_repeats",
-            "Requests that wanted to be sent once more, by whether the budget allowed it",
+            "Retries and hedges by whether the retry budget allowed them",
             "budget",
-            RouteMetrics::repeats));
-    f.counters()
+            RouteMetrics::retriesByDecision));
+    gatewayMetrics
+        .counters()
         .forEach(
-            (name, t) ->
+            (name, total) ->
                 metrics.add(
                     CounterSnapshot.builder()
                         .name(name)
-                        .help(t.help())
-                        .dataPoint(point(Labels.EMPTY, t.value().getAsLong()))
+                        .help(total.help())
+                        .dataPoint(point(Labels.EMPTY, total.value().getAsLong()))
                         .build()));
-    return text(metrics);
+    return encode(metrics);
   }
 
-  private static byte[] text(List<MetricSnapshot> metrics) {
+  private static byte[] encode(List<MetricSnapshot> metrics) {
     var out = new ByteArrayOutputStream();
     try {
       PrometheusTextFormatWriter.create().write(out, new MetricSnapshots(metrics));
@@ -90,46 +91,52 @@
   }
 
   private static MetricSnapshot histogram(
-      GatewayMetrics f, String name, String help, Function<RouteMetrics, LatencyHistogram> which) {
+      GatewayMetrics gatewayMetrics,
+      String name,
+      String help,
+      Function<RouteMetrics, LatencyHistogram> selector) {
     var metric = HistogramSnapshot.builder().name(name).help(help);
-    f.routes()
+    gatewayMetrics
+        .routes()
         .forEach(
-            (route, figures) -> {
-              LatencyHistogram c = which.apply(figures);
+            (route, routeMetrics) -> {
+              LatencyHistogram latencies = selector.apply(routeMetrics);
               metric.dataPoint(
                   HistogramSnapshot.HistogramDataPointSnapshot.builder()
-                      .classicHistogramBuckets(buckets(c))
-                      .sum(c.sumMs() / MS_PER_SECOND)
+                      .classicHistogramBuckets(buckets(latencies))
+                      .sum(latencies.sumMs() / MS_PER_SECOND)
                       .labels(Labels.of("route", route))
                       .build());
             });
     return metric.build();
   }
 
-  private static ClassicHistogramBuckets buckets(LatencyHistogram c) {
+  private static ClassicHistogramBuckets buckets(LatencyHistogram latencies) {
     var buckets = ClassicHistogramBuckets.builder();
     for (int i = 0; i < LatencyHistogram.BOUNDS_MS.size(); i++) {
-      buckets.bucket(LatencyHistogram.BOUNDS_MS.get(i) / MS_PER_SECOND, c.count(i));
+      buckets.bucket(LatencyHistogram.BOUNDS_MS.get(i) / MS_PER_SECOND, latencies.count(i));
     }
-    buckets.bucket(Double.POSITIVE_INFINITY, c.count(LatencyHistogram.BOUNDS_MS.size()));
+    buckets.bucket(Double.POSITIVE_INFINITY, latencies.count(LatencyHistogram.BOUNDS_MS.size()));
     return buckets.build();
   }
 
   private static MetricSnapshot counter(
-      GatewayMetrics f,
+      GatewayMetrics gatewayMetrics,
       String name,
       String help,
       String label,
-      Function<RouteMetrics, Map<String, Long>> which) {
+      Function<RouteMetrics, Map<String, Long>> selector) {
     var metric = CounterSnapshot.builder().name(name).help(help);
-    f.routes()
+    gatewayMetrics
+        .routes()
         .forEach(
-            (route, figures) ->
-                which
-                    .apply(figures)
+            (route, routeMetrics) ->
+                selector
+                    .apply(routeMetrics)
                     .forEach(
-                        (word, n) ->
-                            metric.dataPoint(point(Labels.of("route", route, label, word), n))));
+                        (labelValue, sampleCount) ->
+                            metric.dataPoint(
+                                point(Labels.of("route", route, label, labelValue), sampleCount))));
     return metric.build();
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/RouteMetrics.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/RouteMetrics.java
@@ -3,76 +3,76 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What happened to the requests of one route. Confined to the event loop. */
+/** Counters and latency histograms of one route. Confined to the event loop. */
 public final class RouteMetrics {
-  private final LatencyHistogram recordAnsweredRequest = new LatencyHistogram();
-  private final LatencyHistogram waited = new LatencyHistogram();
-  private final Map<String, Long> attempts = new TreeMap<>();
-  private final Map<String, Long> refusals = new TreeMap<>();
-  private final Map<String, Long> repeats = new TreeMap<>();
+  private final LatencyHistogram requestLatency = new LatencyHistogram();
+  private final LatencyHistogram queueLatency = new LatencyHistogram();
+  private final Map<String, Long> attemptsByOutcome = new TreeMap<>();
+  private final Map<String, Long> refusalsByReason = new TreeMap<>();
+  private final Map<String, Long> retriesByDecision = new TreeMap<>();
 
   /**
-   * Counts a request that got an upstream's answer.
+   * Records a request that was answered with an upstream's response.
    *
-   * @param ms from its arrival to its whole answer
+   * @param durationMs time from the request's arrival to the complete response, in milliseconds
    */
-  public void recordAnsweredRequest(long ms) {
-    recordAnsweredRequest.add(ms);
+  public void recordAnsweredRequest(long durationMs) {
+    requestLatency.observe(durationMs);
   }
 
   /**
-   * Counts an attempt that was sent.
+   * Records an attempt that was sent.
    *
-   * @param ms from the request's arrival until then
+   * @param durationMs time from the request's arrival until the attempt was sent, in milliseconds
    */
-  public void recordSentAttempt(long ms) {
-    waited.add(ms);
+  public void recordSentAttempt(long durationMs) {
+    queueLatency.observe(durationMs);
   }
 
   /**
-   * Counts the end of an attempt.
+   * Records the outcome of an attempt.
    *
-   * @param end how it ended, one of few words
+   * @param outcome the outcome, one of a small set of label values
    */
-  public void recordAttemptOutcome(String end) {
-    attempts.merge(end, 1L, Long::sum);
+  public void recordAttemptOutcome(String outcome) {
+    attemptsByOutcome.merge(outcome, 1L, Long::sum);
   }
 
   /**
-   * Counts a request that the system answered itself, or whose caller left.
+   * Records a request that the host answered itself, or that its caller cancelled.
    *
-   * @param why the reason, one of few words
+   * @param reason the reason, one of a small set of label values
    */
-  public void recordRefusal(String why) {
-    refusals.merge(why, 1L, Long::sum);
+  public void recordRefusal(String reason) {
+    refusalsByReason.merge(reason, 1L, Long::sum);
   }
 
   /**
-   * Counts a request that wanted to be sent once more.
+   * Records whether a retry or hedge was allowed.
    *
-   * @param allowed whether the budget allowed it
+   * @param allowed whether the retry budget allowed it
    */
   public void recordRetryDecision(boolean allowed) {
-    repeats.merge(allowed ? "allowed" : "denied", 1L, Long::sum);
+    retriesByDecision.merge(allowed ? "allowed" : "denied", 1L, Long::sum);
   }
 
-  LatencyHistogram recordAnsweredRequest() {
-    return recordAnsweredRequest;
+  LatencyHistogram requestLatency() {
+    return requestLatency;
   }
 
-  LatencyHistogram waited() {
-    return waited;
+  LatencyHistogram queueLatency() {
+    return queueLatency;
   }
 
-  Map<String, Long> attempts() {
-    return attempts;
+  Map<String, Long> attemptsByOutcome() {
+    return attemptsByOutcome;
   }
 
-  Map<String, Long> refusals() {
-    return refusals;
+  Map<String, Long> refusalsByReason() {
+    return refusalsByReason;
   }
 
-  Map<String, Long> repeats() {
-    return repeats;
+  Map<String, Long> retriesByDecision() {
+    return retriesByDecision;
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/package-info.java
@@ -1,4 +1,4 @@
-/** Structured log lines and counters. */
+/** Structured logging and metrics. */
 @NullMarked
 package dev.cactusstack.gateway.observe;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/package-info.java
@@ -1,4 +1,4 @@
-/** An entry host for a site whose operators and upstreams speak through a store. */
+/** An entry host for a site whose operators and upstreams use a shared store. */
 @NullMarked
 package dev.cactusstack.gateway;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
@@ -19,9 +19,9 @@
 import java.util.function.BiConsumer;
 import org.jspecify.annotations.Nullable;
 
-/** Sends and receives datagrams of other hosts. Confined to the event loop. */
+/** Exchanges datagrams with other hosts. Confined to the event loop. */
 public final class Link {
-  private static final int MOST_BYTES = 32_768;
+  private static final int MAX_DATAGRAM_BYTES = 32_768;
 
   private final EventLoop loop;
   private final EventLog log;
@@ -31,8 +31,8 @@
   /**
    * Creates a link that is not open.
    *
-   * @param loop the loop that everything runs on
-   * @param log where unreadable messages are told
+   * @param loop the event loop that all methods run on
+   * @param log logs messages that cannot be decoded or sent
    */
   public Link(EventLoop loop, EventLog log) {
     this.loop = loop;
@@ -42,33 +42,34 @@
   /**
    * Opens the link.
    *
-   * @param address where to receive
-   * @param receiver gets each message with its sender
-   * @return completes when messages can arrive
+   * @param address the local address to bind
+   * @param receiver receives each message with its sender's address
+   * @return completes when the link can receive messages
    */
   public ChannelFuture open(Address address, BiConsumer<LinkMessage, Address> receiver) {
-    ChannelFuture f =
+    ChannelFuture bound =
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES))
+            .option(
+                ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
             .handler(new Receiver(receiver))
             .bind(address.ip(), address.port());
-    channel = f.channel();
-    return f;
+    channel = bound.channel();
+    return bound;
   }
 
   /**
-   * Sends a message; it may get lost.
+   * Sends a message, without any guarantee of delivery.
    *
-   * @param m the message
-   * @param to where to
+   * @param message the message
+   * @param destination the address of the receiving host
    */
-  public void send(LinkMessage m, Address to) {
-    Channel ch = channel;
-    if (ch != null && ch.isActive()) {
-      byte[] bytes = LinkCodec.encode(m);
-      if (bytes.length > MOST_BYTES) {
+  public void send(LinkMessage message, Address destination) {
+    Channel openChannel = channel;
+    if (openChannel != null && openChannel.isActive()) {
+      byte[] bytes = LinkCodec.encode(message);
+      if (bytes.length > MAX_DATAGRAM_BYTES) {
         log.event("link_too_large")
             .with("bytes", bytes.length)
             .with("remedy", "the receiver reads the store instead")
@@ -76,13 +77,13 @@
         return;
       }
       sentMessageCount++;
-      var receiver = new InetSocketAddress(to.ip(), to.port());
-      ch.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), receiver));
+      var socketAddress = new InetSocketAddress(destination.ip(), destination.port());
+      openChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), socketAddress));
     }
   }
 
   /**
-   * Counts the messages sent so far.
+   * Returns the number of messages sent so far.
    *
    * @return the count
    */
@@ -90,7 +91,7 @@
     return sentMessageCount;
   }
 
-  /** Decodes datagrams. Confined to the event loop. */
+  /** Decodes datagrams and passes on their messages. Confined to the event loop. */
   private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
     private final BiConsumer<LinkMessage, Address> receiver;
 
@@ -99,11 +100,11 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-      InetSocketAddress from = p.sender();
+    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket datagram) {
+      InetSocketAddress from = datagram.sender();
       try {
-        LinkMessage m = LinkCodec.decode(ByteBufUtil.getBytes(p.content()));
-        receiver.accept(m, new Address(from.getAddress().getHostAddress(), from.getPort()));
+        LinkMessage message = LinkCodec.decode(ByteBufUtil.getBytes(datagram.content()));
+        receiver.accept(message, new Address(from.getAddress().getHostAddress(), from.getPort()));
       } catch (IOException e) {
         log.event("link_unreadable")
             .with("from", String.valueOf(from))
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
@@ -21,12 +21,12 @@
 import java.util.Set;
 
 /**
- * Writes messages between hosts with protobuf's basic types, in a fixed order without tags: all
- * hosts of a site run the same version, and a host that restarts with another one is refused by the
- * version byte. Stateless and thread-safe.
+ * Encodes and decodes messages between hosts with protobuf's basic types, in a fixed order without
+ * tags. This works because all hosts of a site run the same version; messages of another version
+ * are rejected by the version byte. Stateless and thread-safe.
  */
 public final class LinkCodec {
-  private static final int VERSION = 1;
+  private static final int FORMAT_VERSION = 1;
   private static final int MAX_ITEMS = 1_000;
 
   private LinkCodec() {}
@@ -34,15 +34,15 @@
   /**
    * Encodes a message.
    *
-   * @param m the message
-   * @return its bytes
+   * @param message the message
+   * @return the encoded message
    */
-  public static byte[] encode(LinkMessage m) {
+  public static byte[] encode(LinkMessage message) {
     var bytes = new ByteArrayOutputStream();
     CodedOutputStream out = CodedOutputStream.newInstance(bytes);
     try {
-      out.writeUInt32NoTag(VERSION);
-      write(out, m);
+      out.writeUInt32NoTag(FORMAT_VERSION);
+      write(out, message);
       out.flush();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -53,97 +53,97 @@
   /**
    * Decodes a message.
    *
-   * @param bytes its bytes
+   * @param bytes the encoded message
    * @return the message
-   * @throws IOException if the bytes are no message of this version
+   * @throws IOException if the bytes are not a valid message of this version
    */
   public static LinkMessage decode(byte[] bytes) throws IOException {
     CodedInputStream in = CodedInputStream.newInstance(bytes);
-    if (in.readUInt32() != VERSION) {
-      throw new IOException("another version");
+    if (in.readUInt32() != FORMAT_VERSION) {
+      throw new IOException("unsupported message version");
     }
     try {
-      return Type.values()[count(in)].read(in);
+      return Type.values()[readCount(in)].read(in);
     } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-      throw new IOException("not a message", e);
+      throw new IOException("malformed message", e);
     }
   }
 
-  private static void write(CodedOutputStream out, LinkMessage m) throws IOException {
-    if (m instanceof LinkMessage.Gossip b) {
-      out.writeUInt32NoTag(Type.BEAT.ordinal());
-      writeBeat(out, b);
-    } else if (m instanceof LinkMessage.RequestSubmitted a) {
-      out.writeUInt32NoTag(Type.ASKED.ordinal());
-      out.writeStringNoTag(a.service());
-      writeAsk(out, a.request());
-    } else if (m instanceof LinkMessage.DecisionMade d) {
-      out.writeUInt32NoTag(Type.DECIDED.ordinal());
-      writeVerdict(out, d.decision());
-    } else if (m instanceof LinkMessage.AttemptsEnded e) {
-      out.writeUInt32NoTag(Type.ENDED.ordinal());
-      writeEnded(out, e);
-    } else if (m instanceof LinkMessage.RequestCancelled w) {
-      out.writeUInt32NoTag(Type.WITHDRAWN.ordinal());
+  private static void write(CodedOutputStream out, LinkMessage message) throws IOException {
+    if (message instanceof LinkMessage.Gossip gossip) {
+      out.writeUInt32NoTag(Type.GOSSIP.ordinal());
+      writeGossip(out, gossip);
+    } else if (message instanceof LinkMessage.RequestSubmitted submitted) {
+      out.writeUInt32NoTag(Type.REQUEST_SUBMITTED.ordinal());
+      out.writeStringNoTag(submitted.service());
+      writeRequest(out, submitted.request());
+    } else if (message instanceof LinkMessage.DecisionMade decided) {
+      out.writeUInt32NoTag(Type.DECISION_MADE.ordinal());
+      writeDecision(out, decided.decision());
+    } else if (message instanceof LinkMessage.AttemptsEnded ended) {
+      out.writeUInt32NoTag(Type.ATTEMPTS_ENDED.ordinal());
+      writeAttempts(out, ended);
+    } else if (message instanceof LinkMessage.RequestCancelled w) {
+      out.writeUInt32NoTag(Type.REQUEST_CANCELLED.ordinal());
       out.writeStringNoTag(w.service());
       writeKey(out, w.key());
-    } else if (m instanceof LinkMessage.RequestDeclined u) {
-      out.writeUInt32NoTag(Type.UNABLE.ordinal());
-      writeKey(out, u.key());
-    } else if (m instanceof LinkMessage.ConfigurationUpdate r) {
-      out.writeUInt32NoTag(Type.RULES.ordinal());
-      ConfigurationCodec.write(out, r.snapshot());
-    } else if (m instanceof LinkMessage.ConfigurationQuery w) {
-      out.writeUInt32NoTag(Type.RULES_WANTED.ordinal());
+    } else if (message instanceof LinkMessage.RequestDeclined declined) {
+      out.writeUInt32NoTag(Type.REQUEST_DECLINED.ordinal());
+      writeKey(out, declined.key());
+    } else if (message instanceof LinkMessage.ConfigurationUpdate update) {
+      out.writeUInt32NoTag(Type.CONFIGURATION_UPDATE.ordinal());
+      ConfigurationCodec.write(out, update.snapshot());
+    } else if (message instanceof LinkMessage.ConfigurationQuery w) {
+      out.writeUInt32NoTag(Type.CONFIGURATION_QUERY.ordinal());
       out.writeUInt64NoTag(w.knownRevision());
     }
   }
 
-  /** The kinds of message, with how each is read. */
+  /** The message types, each with its decoder. Encoded by ordinal. */
   private enum Type {
-    BEAT {
+    GOSSIP {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return readBeat(in);
+        return readGossip(in);
       }
     },
-    ASKED {
+    REQUEST_SUBMITTED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.RequestSubmitted(in.readString(), readAsk(in));
+        return new LinkMessage.RequestSubmitted(in.readString(), readRequest(in));
       }
     },
-    DECIDED {
+    DECISION_MADE {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.DecisionMade(readVerdict(in));
+        return new LinkMessage.DecisionMade(readDecision(in));
       }
     },
-    ENDED {
+    ATTEMPTS_ENDED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return readEnded(in);
+        return readAttempts(in);
       }
     },
-    WITHDRAWN {
+    REQUEST_CANCELLED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
         return new LinkMessage.RequestCancelled(in.readString(), readKey(in));
       }
     },
-    UNABLE {
+    REQUEST_DECLINED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
         return new LinkMessage.RequestDeclined(readKey(in));
       }
     },
-    RULES {
+    CONFIGURATION_UPDATE {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
         return new LinkMessage.ConfigurationUpdate(ConfigurationCodec.read(in));
       }
     },
-    RULES_WANTED {
+    CONFIGURATION_QUERY {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
         return new LinkMessage.ConfigurationQuery(in.readUInt64());
@@ -153,33 +153,34 @@
     abstract LinkMessage read(CodedInputStream in) throws IOException;
   }
 
-  private static void writeBeat(CodedOutputStream out, LinkMessage.Gossip b) throws IOException {
-    out.writeUInt64NoTag(b.configurationRevision());
-    out.writeUInt32NoTag(b.recentlyStarted().size());
-    for (HostRegistration e : b.recentlyStarted()) {
-      out.writeStringNoTag(e.name());
-      out.writeStringNoTag(e.dataCentre());
-      writeAddress(out, e.callerAddress());
-      writeAddress(out, e.linkAddress());
-      out.writeUInt32NoTag(e.milliCores());
-      out.writeUInt64NoTag(e.incarnation());
+  private static void writeGossip(CodedOutputStream out, LinkMessage.Gossip gossip)
+      throws IOException {
+    out.writeUInt64NoTag(gossip.configurationRevision());
+    out.writeUInt32NoTag(gossip.startedHosts().size());
+    for (HostRegistration host : gossip.startedHosts()) {
+      out.writeStringNoTag(host.name());
+      out.writeStringNoTag(host.dataCentre());
+      writeAddress(out, host.callerAddress());
+      writeAddress(out, host.linkAddress());
+      out.writeUInt32NoTag(host.milliCores());
+      out.writeUInt64NoTag(host.incarnation());
     }
-    out.writeUInt32NoTag(b.heartbeats().size());
-    for (HeartbeatState p : b.heartbeats()) {
-      out.writeFixed32NoTag(p.hostHash());
-      out.writeUInt64NoTag(p.incarnation());
-      out.writeUInt64NoTag(p.counter());
-      out.writeBoolNoTag(p.leaving());
-      out.writeBoolNoTag(p.reachesStore());
-      out.writeBoolNoTag(p.knowsUpstreams());
+    out.writeUInt32NoTag(gossip.heartbeats().size());
+    for (HeartbeatState heartbeat : gossip.heartbeats()) {
+      out.writeFixed32NoTag(heartbeat.hostHash());
+      out.writeUInt64NoTag(heartbeat.incarnation());
+      out.writeUInt64NoTag(heartbeat.counter());
+      out.writeBoolNoTag(heartbeat.leaving());
+      out.writeBoolNoTag(heartbeat.reachesStore());
+      out.writeBoolNoTag(heartbeat.knowsUpstreams());
     }
   }
 
-  private static LinkMessage readBeat(CodedInputStream in) throws IOException {
+  private static LinkMessage readGossip(CodedInputStream in) throws IOException {
     long revision = in.readUInt64();
-    List<HostRegistration> news = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
-      news.add(
+    List<HostRegistration> startedHosts = new ArrayList<>();
+    for (int n = readCount(in); n > 0; n--) {
+      startedHosts.add(
           new HostRegistration(
               in.readString(),
               in.readString(),
@@ -188,9 +189,9 @@
               in.readUInt32(),
               in.readUInt64()));
     }
-    List<HeartbeatState> pulses = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
-      pulses.add(
+    List<HeartbeatState> heartbeats = new ArrayList<>();
+    for (int n = readCount(in); n > 0; n--) {
+      heartbeats.add(
           new HeartbeatState(
               in.readFixed32(),
               in.readUInt64(),
@@ -199,57 +200,68 @@
               in.readBool(),
               in.readBool()));
     }
-    return new LinkMessage.Gossip(revision, news, pulses);
+    return new LinkMessage.Gossip(revision, startedHosts, heartbeats);
   }
 
-  private static void writeAsk(CodedOutputStream out, PlacementRequest a) throws IOException {
-    writeKey(out, a.key());
-    out.writeStringNoTag(a.dataCentre());
-    out.writeStringNoTag(a.route());
-    out.writeUInt32NoTag(a.priority());
-    out.writeUInt64NoTag(a.latencyObjectiveMs());
-    out.writeUInt64NoTag(a.objectiveRemainingMs());
-    out.writeUInt64NoTag(a.deadlineRemainingMs());
-    out.writeUInt32NoTag(a.bodyBytes());
-    out.writeBoolNoTag(a.hedge());
-    out.writeUInt32NoTag(a.excludedUpstreams().size());
-    for (String t : a.excludedUpstreams()) {
-      out.writeStringNoTag(t);
+  private static void writeRequest(CodedOutputStream out, PlacementRequest placementRequest)
+      throws IOException {
+    writeKey(out, placementRequest.key());
+    out.writeStringNoTag(placementRequest.dataCentre());
+    out.writeStringNoTag(placementRequest.route());
+    out.writeUInt32NoTag(placementRequest.priority());
+    out.writeUInt64NoTag(placementRequest.latencyObjectiveMs());
+    out.writeUInt64NoTag(placementRequest.objectiveRemainingMs());
+    out.writeUInt64NoTag(placementRequest.deadlineRemainingMs());
+    out.writeUInt32NoTag(placementRequest.bodyBytes());
+    out.writeBoolNoTag(placementRequest.hedge());
+    out.writeUInt32NoTag(placementRequest.excludedUpstreams().size());
+    for (String excludedId : placementRequest.excludedUpstreams()) {
+      out.writeStringNoTag(excludedId);
     }
   }
 
-  private static PlacementRequest readAsk(CodedInputStream in) throws IOException {
+  private static PlacementRequest readRequest(CodedInputStream in) throws IOException {
     PlacementKey key = readKey(in);
     String dataCentre = in.readString();
     String route = in.readString();
     int priority = in.readUInt32();
-    long objective = in.readUInt64();
-    long onTime = in.readUInt64();
-    long left = in.readUInt64();
-    int body = in.readUInt32();
-    boolean spare = in.readBool();
-    Set<String> tried = new HashSet<>();
-    for (int n = count(in); n > 0; n--) {
-      tried.add(in.readString());
+    long objectiveMs = in.readUInt64();
+    long objectiveLeftMs = in.readUInt64();
+    long deadlineLeftMs = in.readUInt64();
+    int bodySize = in.readUInt32();
+    boolean isHedge = in.readBool();
+    Set<String> excludedIds = new HashSet<>();
+    for (int n = readCount(in); n > 0; n--) {
+      excludedIds.add(in.readString());
     }
     return new PlacementRequest(
-        key, dataCentre, route, priority, objective, onTime, left, body, spare, tried);
+        key,
+        dataCentre,
+        route,
+        priority,
+        objectiveMs,
+        objectiveLeftMs,
+        deadlineLeftMs,
+        bodySize,
+        isHedge,
+        excludedIds);
   }
 
-  private static void writeVerdict(CodedOutputStream out, PlacementDecision v) throws IOException {
-    writeKey(out, v.key());
-    if (v instanceof PlacementDecision.Placed p) {
+  private static void writeDecision(CodedOutputStream out, PlacementDecision placementDecision)
+      throws IOException {
+    writeKey(out, placementDecision.key());
+    if (placementDecision instanceof PlacementDecision.Placed placed) {
       out.writeUInt32NoTag(1);
-      writeUpstream(out, p.upstream());
-    } else if (v instanceof PlacementDecision.Rejected t) {
+      writeUpstream(out, placed.upstream());
+    } else if (placementDecision instanceof PlacementDecision.Rejected rejected) {
       out.writeUInt32NoTag(2);
-      out.writeUInt64NoTag(t.retryAfterMs());
+      out.writeUInt64NoTag(rejected.retryAfterMs());
     } else {
       out.writeUInt32NoTag(0);
     }
   }
 
-  private static PlacementDecision readVerdict(CodedInputStream in) throws IOException {
+  private static PlacementDecision readDecision(CodedInputStream in) throws IOException {
     PlacementKey key = readKey(in);
     return switch (in.readUInt32()) {
       case 1 -> new PlacementDecision.Placed(key, readUpstream(in));
@@ -280,41 +292,41 @@
         in.readUInt64());
   }
 
-  private static void writeEnded(CodedOutputStream out, LinkMessage.AttemptsEnded e)
+  private static void writeAttempts(CodedOutputStream out, LinkMessage.AttemptsEnded ended)
       throws IOException {
-    out.writeStringNoTag(e.service());
-    out.writeUInt32NoTag(e.reports().size());
-    for (AttemptReport r : e.reports()) {
-      writeKey(out, r.key());
-      out.writeStringNoTag(r.upstreamId());
-      out.writeUInt32NoTag(r.outcome().ordinal());
-      out.writeUInt64NoTag(r.durationMs());
-      out.writeBoolNoTag(r.load().isPresent());
-      if (r.load().isPresent()) {
-        ReportedLoad l = r.load().get();
-        out.writeUInt32NoTag(l.running());
-        out.writeUInt32NoTag(l.waiting());
-        out.writeUInt32NoTag(l.slots());
-        out.writeUInt32NoTag(l.slowdownPercent());
+    out.writeStringNoTag(ended.service());
+    out.writeUInt32NoTag(ended.reports().size());
+    for (AttemptReport report : ended.reports()) {
+      writeKey(out, report.key());
+      out.writeStringNoTag(report.upstreamId());
+      out.writeUInt32NoTag(report.outcome().ordinal());
+      out.writeUInt64NoTag(report.durationMs());
+      out.writeBoolNoTag(report.load().isPresent());
+      if (report.load().isPresent()) {
+        ReportedLoad reportedLoad = report.load().get();
+        out.writeUInt32NoTag(reportedLoad.running());
+        out.writeUInt32NoTag(reportedLoad.waiting());
+        out.writeUInt32NoTag(reportedLoad.slots());
+        out.writeUInt32NoTag(reportedLoad.slowdownPercent());
       }
     }
   }
 
-  private static LinkMessage readEnded(CodedInputStream in) throws IOException {
+  private static LinkMessage readAttempts(CodedInputStream in) throws IOException {
     String service = in.readString();
     List<AttemptReport> reports = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       PlacementKey key = readKey(in);
-      String upstream = in.readString();
-      AttemptOutcome end = AttemptOutcome.values()[count(in)];
-      long took = in.readUInt64();
+      String attemptedId = in.readString();
+      AttemptOutcome attemptOutcome = AttemptOutcome.values()[readCount(in)];
+      long tookMs = in.readUInt64();
       Optional<ReportedLoad> load =
           in.readBool()
               ? Optional.of(
                   new ReportedLoad(
                       in.readUInt32(), in.readUInt32(), in.readUInt32(), in.readUInt32()))
               : Optional.empty();
-      reports.add(new AttemptReport(key, upstream, end, took, load));
+      reports.add(new AttemptReport(key, attemptedId, attemptOutcome, tookMs, load));
     }
     return new LinkMessage.AttemptsEnded(service, reports);
   }
@@ -337,10 +349,10 @@
     return new Address(in.readString(), in.readUInt32());
   }
 
-  static int count(CodedInputStream in) throws IOException {
+  static int readCount(CodedInputStream in) throws IOException {
     int n = in.readUInt32();
     if (n < 0 || n > MAX_ITEMS) {
-      throw new IOException("too many items");
+      throw new IOException("item count is negative or exceeds the limit");
     }
     return n;
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
@@ -9,61 +9,63 @@
 import dev.cactusstack.model.site.HostRegistration;
 import java.util.List;
 
-/** What hosts tell each other, one datagram each. Implementations are immutable. */
+/** A message between hosts, sent as one datagram. Implementations are immutable. */
 public sealed interface LinkMessage {
   /**
-   * A round of gossip.
+   * The membership state that a host gossips periodically.
    *
-   * @param configurationRevision the store's revision of the newest change that the sender knows
-   * @param recentlyStarted entries of hosts whose start is news, the sender's own first
-   * @param heartbeats heartbeat counters
+   * @param configurationRevision the revision of the newest configuration change that the sender
+   *     has
+   * @param startedHosts registrations of recently started hosts, the sender's own first
+   * @param heartbeats heartbeat states of hosts
    */
   record Gossip(
       long configurationRevision,
-      List<HostRegistration> recentlyStarted,
+      List<HostRegistration> startedHosts,
       List<HeartbeatState> heartbeats)
       implements LinkMessage {
     /** Copies the components. */
     public Gossip {
-      recentlyStarted = List.copyOf(recentlyStarted);
+      startedHosts = List.copyOf(startedHosts);
       heartbeats = List.copyOf(heartbeats);
     }
   }
 
   /**
-   * The configuration in force at the sender.
+   * Carries the configuration in force at the sender.
    *
-   * @param snapshot what it has in force, and since when
+   * @param snapshot the configuration with the revision of its newest change
    */
   record ConfigurationUpdate(ConfigurationSnapshot snapshot) implements LinkMessage {}
 
   /**
-   * Asks for the configuration in force at the receiver, if it is newer.
+   * Queries the configuration in force at the receiver, if it is newer.
    *
-   * @param knownRevision the store's revision up to which the sender knows it
+   * @param knownRevision the revision of the sender's configuration
    */
   record ConfigurationQuery(long knownRevision) implements LinkMessage {}
 
   /**
-   * A request that wants an upstream.
+   * Submits a request to the host that schedules its service.
    *
    * @param service the service's name
-   * @param request the request
+   * @param request the placement request
    */
   record RequestSubmitted(String service, PlacementRequest request) implements LinkMessage {}
 
   /**
-   * What was decided about it.
+   * Returns the decision on a submitted request.
    *
    * @param decision the decision
    */
   record DecisionMade(PlacementDecision decision) implements LinkMessage {}
 
   /**
-   * Ends of attempts; the newest first, then some that were told before, as datagrams get lost.
+   * Reports ended attempts: the newest first, then some earlier ones again, because datagrams may
+   * be lost.
    *
    * @param service the service's name
-   * @param reports the ends
+   * @param reports the reports
    */
   record AttemptsEnded(String service, List<AttemptReport> reports) implements LinkMessage {
     /** Copies the components. */
@@ -73,18 +75,18 @@
   }
 
   /**
-   * A request that no longer wants a place.
+   * Cancels a submitted request.
    *
    * @param service the service's name
-   * @param key its ask
+   * @param key the key of the placement request
    */
   record RequestCancelled(String service, PlacementKey key) implements LinkMessage {}
 
   /**
-   * An ask that the sender does not decide, because it does not reach the store, or has not read
-   * the upstreams.
+   * Declines to decide on a submitted request, because the sender does not reach the store or has
+   * not read the upstreams.
    *
-   * @param key the ask
+   * @param key the key of the placement request
    */
   record RequestDeclined(PlacementKey key) implements LinkMessage {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LocalSchedulers.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LocalSchedulers.java
@@ -20,13 +20,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * This host's schedulers, one for each service that some host has asked about. Confined to the
- * event loop.
+ * The schedulers of this host, one for each service that this or another host has requested.
+ * Confined to the event loop.
  */
 public final class LocalSchedulers {
-  private static final long TICK_MS = 20;
-  private static final long PROBE_TICK_MS = 50;
-  private static final long PROBE_WHILE_ASKED_MS = 1_000;
+  private static final long QUEUE_TICK_INTERVAL_MS = 20;
+  private static final long PROBE_INTERVAL_MS = 50;
+  private static final long PROBE_AFTER_REQUEST_MS = 1_000;
 
   private final EventLoop loop;
   private final LongSupplier clock;
@@ -34,23 +34,23 @@
   private final SchedulerSettings settings;
   private final UpstreamsController upstreams;
   private final UpstreamProber prober;
-  private final BooleanSupplier othersInformed;
-  private final Map<String, Scheduler> byService = new HashMap<>();
-  private final Map<String, Long> askedAt = new HashMap<>();
-  private Consumer<PlacementDecision> verdicts = v -> {};
-  private boolean ticking;
-  private boolean probing;
+  private final BooleanSupplier anotherHostReachesStore;
+  private final Map<String, Scheduler> schedulersByService = new HashMap<>();
+  private final Map<String, Long> lastRequestAtMs = new HashMap<>();
+  private Consumer<PlacementDecision> decisionListener = v -> {};
+  private boolean tickScheduled;
+  private boolean probeScheduled;
 
   /**
-   * Creates schedulers for no service.
+   * Creates an instance without schedulers; they are created on demand.
    *
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where decisions are told
-   * @param settings what schedulers go by
-   * @param upstreams which upstreams there are
-   * @param prober asks upstreams for their load
-   * @param othersInformed whether another host reaches the store
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs decisions
+   * @param settings settings of the schedulers
+   * @param upstreams tracks the upstreams
+   * @param prober probes the load of upstreams
+   * @param anotherHostReachesStore whether another host reaches the store
    */
   public LocalSchedulers(
       EventLoop loop,
@@ -59,143 +59,152 @@
       SchedulerSettings settings,
       UpstreamsController upstreams,
       UpstreamProber prober,
-      BooleanSupplier othersInformed) {
+      BooleanSupplier anotherHostReachesStore) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
     this.settings = settings;
     this.upstreams = upstreams;
     this.prober = prober;
-    this.othersInformed = othersInformed;
-    upstreams.onChange(this::refresh);
+    this.anotherHostReachesStore = anotherHostReachesStore;
+    upstreams.onChange(this::refreshUpstreams);
   }
 
-  void onDecision(Consumer<PlacementDecision> receiver) {
-    verdicts = receiver;
+  void onDecision(Consumer<PlacementDecision> listener) {
+    decisionListener = listener;
   }
 
-  /** Decides about an ask of this host itself, with whatever is known. */
-  void submit(String service, PlacementRequest ask) {
-    upstreams.runWhenFresh(() -> decide(service, ask));
+  /** Decides on a request of this host, even if the upstreams are stale or unknown. */
+  void requestDecision(String service, PlacementRequest request) {
+    upstreams.runWhenFresh(() -> decide(service, request));
   }
 
-  /** Decides about an ask of another host, unless this one knows nothing or others know more. */
-  void submit(String service, PlacementRequest ask, Runnable unable) {
+  /**
+   * Decides on a request of another host. Declines it if the upstreams have never been read, or are
+   * stale while another host reaches the store.
+   */
+  void requestDecision(String service, PlacementRequest request, Runnable onDeclined) {
     upstreams.runWhenFresh(
         () -> {
-          boolean othersKnowMore = upstreams.isStale() && othersInformed.getAsBoolean();
+          boolean othersKnowMore = upstreams.isStale() && anotherHostReachesStore.getAsBoolean();
           if (upstreams.isNeverRead() || othersKnowMore) {
-            unable.run();
+            onDeclined.run();
           } else {
-            decide(service, ask);
+            decide(service, request);
           }
         });
   }
 
-  private void decide(String service, PlacementRequest ask) {
+  private void decide(String service, PlacementRequest request) {
     long now = clock.getAsLong();
-    askedAt.put(service, now);
-    deliver(service, scheduler(service).submit(ask, now));
-    tickSoon();
-    probeSoon();
+    lastRequestAtMs.put(service, now);
+    publish(service, schedulerFor(service).submit(request, now));
+    scheduleTick();
+    scheduleProbe();
   }
 
-  void report(String service, AttemptReport r) {
-    Scheduler s = byService.get(service);
-    if (s != null) {
-      deliver(service, s.report(r, clock.getAsLong()));
+  void report(String service, AttemptReport attempt) {
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler != null) {
+      publish(service, scheduler.report(attempt, clock.getAsLong()));
     }
   }
 
   void cancelQueued(String service, PlacementKey key) {
-    Scheduler s = byService.get(service);
-    if (s != null) {
-      s.cancel(key);
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler != null) {
+      scheduler.cancel(key);
     }
   }
 
-  private Scheduler scheduler(String service) {
-    Scheduler s = byService.get(service);
-    if (s == null) {
-      s = new Scheduler(settings);
-      byService.put(service, s);
-      s.updateUpstreams(
+  private Scheduler schedulerFor(String service) {
+    Scheduler scheduler = schedulersByService.get(service);
+    if (scheduler == null) {
+      scheduler = new Scheduler(settings);
+      schedulersByService.put(service, scheduler);
+      scheduler.updateUpstreams(
           upstreams.serviceSettings(service),
           upstreams.usableUpstreams(service),
           clock.getAsLong());
     }
-    return s;
+    return scheduler;
   }
 
-  private void refresh() {
+  private void refreshUpstreams() {
     long now = clock.getAsLong();
-    byService.forEach(
-        (service, s) ->
-            s.updateUpstreams(
+    schedulersByService.forEach(
+        (service, scheduler) ->
+            scheduler.updateUpstreams(
                 upstreams.serviceSettings(service), upstreams.usableUpstreams(service), now));
   }
 
-  private void deliver(String service, List<PlacementDecision> list) {
-    list.forEach(v -> tell(service, v));
-    list.forEach(verdicts);
+  private void publish(String service, List<PlacementDecision> decisions) {
+    decisions.forEach(decision -> logDecision(service, decision));
+    decisions.forEach(decisionListener);
   }
 
-  private void tell(String service, PlacementDecision v) {
+  private void logDecision(String service, PlacementDecision decision) {
     EventLine line = log.event("decided").with("service", service);
-    line.with("asker", v.key().hostHash()).with("ask", v.key().sequenceNumber());
-    if (v instanceof PlacementDecision.Placed p) {
-      String figures = scheduler(service).describeUpstream(p.upstream().id(), clock.getAsLong());
-      line.with("outcome", "placed").with("upstream", p.upstream().id()).with("knew", figures);
-    } else if (v instanceof PlacementDecision.Rejected t) {
-      line.with("outcome", "turned-away").with("retry_ms", t.retryAfterMs());
+    line.with("asker", decision.key().hostHash()).with("ask", decision.key().sequenceNumber());
+    if (decision instanceof PlacementDecision.Placed placed) {
+      String load =
+          schedulerFor(service).describeUpstream(placed.upstream().id(), clock.getAsLong());
+      line.with("outcome", "placed").with("upstream", placed.upstream().id()).with("knew", load);
+    } else if (decision instanceof PlacementDecision.Rejected rejected) {
+      line.with("outcome", "turned-away").with("retry_ms", rejected.retryAfterMs());
     } else {
       line.with("outcome", "waits");
     }
     line.write();
   }
 
-  private void probeSoon() {
-    if (!probing) {
-      probing = true;
-      loop.schedule(this::probe, PROBE_TICK_MS, TimeUnit.MILLISECONDS);
+  private void scheduleProbe() {
+    if (!probeScheduled) {
+      probeScheduled = true;
+      loop.schedule(this::probe, PROBE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void probe() {
-    probing = false;
+    probeScheduled = false;
     long now = clock.getAsLong();
-    askedAt.values().removeIf(at -> now - at > PROBE_WHILE_ASKED_MS);
-    for (String service : askedAt.keySet()) {
-      Scheduler s = scheduler(service);
+    lastRequestAtMs
+        .values()
+        .removeIf(requestedAtMs -> now - requestedAtMs > PROBE_AFTER_REQUEST_MS);
+    for (String service : lastRequestAtMs.keySet()) {
+      Scheduler scheduler = schedulerFor(service);
       String path = upstreams.serviceSettings(service).healthPath();
-      for (UpstreamRegistration u :
-          path.isEmpty() ? List.<UpstreamRegistration>of() : s.selectProbeTargets(now)) {
+      for (UpstreamRegistration target :
+          path.isEmpty() ? List.<UpstreamRegistration>of() : scheduler.selectProbeTargets(now)) {
         prober.probe(
-            u,
+            target,
             path,
-            figures -> deliver(service, s.recordProbeResponse(u.id(), figures, clock.getAsLong())));
+            load ->
+                publish(
+                    service, scheduler.recordProbeResponse(target.id(), load, clock.getAsLong())));
       }
     }
-    if (!askedAt.isEmpty()) {
-      probeSoon();
+    if (!lastRequestAtMs.isEmpty()) {
+      scheduleProbe();
     }
   }
 
-  private void tickSoon() {
-    if (!ticking && byService.values().stream().anyMatch(Scheduler::hasQueuedRequests)) {
-      ticking = true;
-      loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+  private void scheduleTick() {
+    if (!tickScheduled
+        && schedulersByService.values().stream().anyMatch(Scheduler::hasQueuedRequests)) {
+      tickScheduled = true;
+      loop.schedule(this::tick, QUEUE_TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void tick() {
-    ticking = false;
+    tickScheduled = false;
     long now = clock.getAsLong();
-    for (Map.Entry<String, Scheduler> e : List.copyOf(byService.entrySet())) {
-      if (e.getValue().hasQueuedRequests()) {
-        deliver(e.getKey(), e.getValue().tick(now));
+    for (Map.Entry<String, Scheduler> entry : List.copyOf(schedulersByService.entrySet())) {
+      if (entry.getValue().hasQueuedRequests()) {
+        publish(entry.getKey(), entry.getValue().tick(now));
       }
     }
-    tickSoon();
+    scheduleTick();
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/PlacementClient.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/PlacementClient.java
@@ -25,21 +25,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Gets a place for each request from the host that schedules its service.
+ * Requests the placement of each request from the host that schedules its service.
  *
- * <p>Hosts that agree on who is alive agree on the scheduling host. An ask without an answer is
- * sent once more, because datagrams get lost, and because two hosts that schedule the same service
- * know less than one. A host that still does not answer is passed over for a while: the request
- * goes to the next in rank, and then to this host's own scheduler. Confined to the event loop.
+ * <p>Hosts that agree on which hosts are alive also agree on the scheduling host. A placement
+ * request without a response is sent once more, because datagrams may be lost, and because two
+ * hosts that schedule the same service each know less than one would. A host that still does not
+ * respond is skipped for a while: the request goes to the next host in the ranking, and then to
+ * this host's own scheduler. Confined to the event loop.
  */
 public final class PlacementClient {
-  private static final long RESEND_MS = 35;
-  private static final long ANSWER_TIMEOUT_MS = 50;
-  private static final long SUSPECT_MS = 1_000;
-  private static final int REMOTE_TRIES = 2;
+  private static final long RESEND_AFTER_MS = 35;
+  private static final long RESPONSE_TIMEOUT_MS = 50;
+  private static final long SUSPICION_MS = 1_000;
+  private static final int MAX_REMOTE_ATTEMPTS = 2;
   private static final int REPEATED_REPORTS = 2;
-  private static final int RANKED = 4;
-  private static final long RANKING_MS = 250;
+  private static final int RANKING_SIZE = 4;
+  private static final long RANKING_TTL_MS = 250;
 
   private final EventLoop loop;
   private final LongSupplier clock;
@@ -47,26 +48,27 @@
   private final Link link;
   private final PeerTable peers;
   private final LocalSchedulers schedulers;
-  private final int self;
-  private final Map<Long, Pending> pending = new HashMap<>();
-  private final Map<Long, Address> placedBy = new HashMap<>();
-  private final Map<Integer, Address> askers = new HashMap<>();
-  private final Map<Address, Long> suspects = new HashMap<>();
-  private final Map<Address, Deque<AttemptReport>> recent = new HashMap<>();
+  private final int selfHash;
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final Map<Long, Address> schedulerByRequest = new HashMap<>();
+  private final Map<Integer, Address> requesters = new HashMap<>();
+  private final Map<Address, Long> suspectedAtMs = new HashMap<>();
+  private final Map<Address, Deque<AttemptReport>> recentReports = new HashMap<>();
   private final Map<String, Ranking> rankings = new HashMap<>();
-  private long lastNumber;
+  private long lastSequenceNumber;
 
   /**
-   * Creates a placement.
+   * Creates a client without pending requests.
    *
-   * @param loop the loop that everything runs on
-   * @param clock a steady clock, in milliseconds
-   * @param log where decisions are told
-   * @param link the way to other hosts
-   * @param peers who is alive
+   * @param loop the event loop that all methods run on
+   * @param clock a monotonic clock, in milliseconds
+   * @param log logs decisions
+   * @param link sends messages to other hosts
+   * @param peers tracks which hosts are alive
    * @param schedulers this host's own schedulers
-   * @param selfName this host's name
-   * @param firstNumber the number before the first ask, another one for each life of the host
+   * @param hostName this host's name
+   * @param initialSequenceNumber the number before the first request, different each time the host
+   *     starts
    */
   public PlacementClient(
       EventLoop loop,
@@ -75,257 +77,286 @@
       Link link,
       PeerTable peers,
       LocalSchedulers schedulers,
-      String selfName,
-      long firstNumber) {
+      String hostName,
+      long initialSequenceNumber) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
     this.link = link;
     this.peers = peers;
     this.schedulers = schedulers;
-    this.self = PeerTable.hash(selfName);
-    this.lastNumber = firstNumber;
-    schedulers.onDecision(this::deliver);
+    this.selfHash = PeerTable.hash(hostName);
+    this.lastSequenceNumber = initialSequenceNumber;
+    schedulers.onDecision(this::handleLocalDecision);
   }
 
   /**
-   * Numbers an ask.
+   * Returns the key for a new placement request.
    *
-   * @return a key that no other ask of this site has
+   * @return a key that is unique in this site
    */
   public PlacementKey nextKey() {
-    return new PlacementKey(self, ++lastNumber);
+    return new PlacementKey(selfHash, ++lastSequenceNumber);
   }
 
   /**
-   * Asks for a place.
+   * Requests a placement.
    *
    * @param service the service's name
-   * @param ask the request
-   * @param end receives one place or refusal
+   * @param request the request
+   * @param callback receives the final decision, a placement or a rejection
    */
   public void requestPlacement(
-      String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
-    ask(new Pending(service, ask, end));
+      String service, PlacementRequest request, Consumer<PlacementDecision> callback) {
+    askScheduler(new PendingRequest(service, request, callback));
   }
 
   /**
-   * Tells how an attempt ended.
+   * Reports the outcome of an attempt.
    *
    * @param service the service's name
-   * @param r the end
+   * @param attempt the report
    */
-  public void report(String service, AttemptReport r) {
-    Address by = placedBy.remove(r.key().sequenceNumber());
-    if (by == null) {
-      schedulers.report(service, r);
+  public void report(String service, AttemptReport attempt) {
+    Address placingHost = schedulerByRequest.remove(attempt.key().sequenceNumber());
+    if (placingHost == null) {
+      schedulers.report(service, attempt);
       return;
     }
-    Deque<AttemptReport> last = recent.computeIfAbsent(by, a -> new ArrayDeque<>());
-    List<AttemptReport> told = new ArrayList<>();
-    told.add(r);
-    told.addAll(last);
-    last.addFirst(r);
-    while (last.size() > REPEATED_REPORTS) {
-      last.removeLast();
+    Deque<AttemptReport> previousReports =
+        recentReports.computeIfAbsent(placingHost, a -> new ArrayDeque<>());
+    List<AttemptReport> sentReports = new ArrayList<>();
+    sentReports.add(attempt);
+    sentReports.addAll(previousReports);
+    previousReports.addFirst(attempt);
+    while (previousReports.size() > REPEATED_REPORTS) {
+      previousReports.removeLast();
     }
-    link.send(new LinkMessage.AttemptsEnded(service, told), by);
+    link.send(new LinkMessage.AttemptsEnded(service, sentReports), placingHost);
   }
 
   /**
-   * Gives up waiting for a place.
+   * Cancels a pending placement request.
    *
-   * @param key the ask
+   * @param key the key of the request
    */
   public void cancelPlacement(PlacementKey key) {
-    Pending p = pending.remove(key.sequenceNumber());
-    if (p == null) {
+    PendingRequest pendingRequest = pendingRequests.remove(key.sequenceNumber());
+    if (pendingRequest == null) {
       return;
     }
-    p.stopTimer();
-    if (p.asked == null) {
-      schedulers.cancelQueued(p.service, key);
+    pendingRequest.stopTimer();
+    if (pendingRequest.scheduler == null) {
+      schedulers.cancelQueued(pendingRequest.service, key);
     } else {
-      link.send(new LinkMessage.RequestCancelled(p.service, key), p.asked);
+      link.send(
+          new LinkMessage.RequestCancelled(pendingRequest.service, key), pendingRequest.scheduler);
     }
   }
 
   /**
-   * Takes in a message of another host.
+   * Handles a message of another host.
    *
-   * @param m the message
+   * @param message the message
    * @param from its sender
    */
-  public void onMessage(LinkMessage m, Address from) {
-    if (m instanceof LinkMessage.RequestSubmitted a) {
-      askers.put(a.request().key().hostHash(), from);
-      schedulers.submit(
-          a.service(), a.request(), () -> link.send(new LinkMessage.RequestDeclined(key(a)), from));
-    } else if (m instanceof LinkMessage.DecisionMade d) {
-      suspects.remove(from);
-      decided(d.decision(), from);
-    } else if (m instanceof LinkMessage.RequestDeclined u) {
-      Pending p = pending.get(u.key().sequenceNumber());
-      if (p != null && from.equals(p.asked)) {
-        passOver(p, from, "unable");
+  public void onMessage(LinkMessage message, Address from) {
+    if (message instanceof LinkMessage.RequestSubmitted submitted) {
+      requesters.put(submitted.request().key().hostHash(), from);
+      schedulers.requestDecision(
+          submitted.service(),
+          submitted.request(),
+          () -> link.send(new LinkMessage.RequestDeclined(keyOf(submitted)), from));
+    } else if (message instanceof LinkMessage.DecisionMade decided) {
+      suspectedAtMs.remove(from);
+      handleDecision(decided.decision(), from);
+    } else if (message instanceof LinkMessage.RequestDeclined declined) {
+      PendingRequest pendingRequest = pendingRequests.get(declined.key().sequenceNumber());
+      if (pendingRequest != null && from.equals(pendingRequest.scheduler)) {
+        skipScheduler(pendingRequest, from, "unable");
       }
-    } else if (m instanceof LinkMessage.AttemptsEnded e) {
-      e.reports().forEach(r -> schedulers.report(e.service(), r));
-    } else if (m instanceof LinkMessage.RequestCancelled w) {
-      schedulers.cancelQueued(w.service(), w.key());
+    } else if (message instanceof LinkMessage.AttemptsEnded ended) {
+      ended.reports().forEach(attempt -> schedulers.report(ended.service(), attempt));
+    } else if (message instanceof LinkMessage.RequestCancelled cancelled) {
+      schedulers.cancelQueued(cancelled.service(), cancelled.key());
     }
   }
 
-  private static PlacementKey key(LinkMessage.RequestSubmitted a) {
-    return a.request().key();
+  private static PlacementKey keyOf(LinkMessage.RequestSubmitted submitted) {
+    return submitted.request().key();
   }
 
-  private void ask(Pending p) {
-    Optional<Address> owner = p.tries < REMOTE_TRIES ? owner(p) : Optional.empty();
-    p.tries++;
-    pending.put(p.ask.key().sequenceNumber(), p);
-    if (owner.isEmpty()) {
-      p.asked = null;
-      schedulers.submit(p.service, p.ask);
+  private void askScheduler(PendingRequest pendingRequest) {
+    Optional<Address> remoteScheduler =
+        pendingRequest.attempts < MAX_REMOTE_ATTEMPTS
+            ? findRemoteScheduler(pendingRequest)
+            : Optional.empty();
+    pendingRequest.attempts++;
+    pendingRequests.put(pendingRequest.request.key().sequenceNumber(), pendingRequest);
+    if (remoteScheduler.isEmpty()) {
+      pendingRequest.scheduler = null;
+      schedulers.requestDecision(pendingRequest.service, pendingRequest.request);
       return;
     }
-    p.asked = owner.get();
-    p.resent = false;
-    send(p, owner.get(), RESEND_MS);
+    pendingRequest.scheduler = remoteScheduler.get();
+    pendingRequest.resent = false;
+    sendRequest(pendingRequest, remoteScheduler.get(), RESEND_AFTER_MS);
   }
 
-  private void send(Pending p, Address owner, long patienceMs) {
-    p.startTimer(loop.schedule(() -> silent(p), patienceMs, TimeUnit.MILLISECONDS));
-    link.send(new LinkMessage.RequestSubmitted(p.service, p.ask), owner);
+  private void sendRequest(PendingRequest pendingRequest, Address remoteScheduler, long timeoutMs) {
+    pendingRequest.startTimer(
+        loop.schedule(() -> onResponseTimeout(pendingRequest), timeoutMs, TimeUnit.MILLISECONDS));
+    link.send(
+        new LinkMessage.RequestSubmitted(pendingRequest.service, pendingRequest.request),
+        remoteScheduler);
   }
 
-  /** The host to ask, or nothing when it is this one. */
-  private Optional<Address> owner(Pending p) {
+  /** Returns the host to send the request to, or empty if it is this host. */
+  private Optional<Address> findRemoteScheduler(PendingRequest pendingRequest) {
     long now = clock.getAsLong();
-    for (HostRegistration e : ranking(p.service, now)) {
-      Long suspected = suspects.get(e.linkAddress());
-      if (suspected == null || now - suspected >= SUSPECT_MS) {
-        return PeerTable.hash(e.name()) == self ? Optional.empty() : Optional.of(e.linkAddress());
+    for (HostRegistration host : rankSchedulers(pendingRequest.service, now)) {
+      Long suspectedSinceMs = suspectedAtMs.get(host.linkAddress());
+      if (suspectedSinceMs == null || now - suspectedSinceMs >= SUSPICION_MS) {
+        return PeerTable.hash(host.name()) == selfHash
+            ? Optional.empty()
+            : Optional.of(host.linkAddress());
       }
     }
     return Optional.empty();
   }
 
-  private List<HostRegistration> ranking(String service, long now) {
-    Ranking known = rankings.get(service);
-    if (known != null && now - known.sinceMs < RANKING_MS) {
-      return known.hosts;
+  private List<HostRegistration> rankSchedulers(String service, long now) {
+    Ranking cached = rankings.get(service);
+    if (cached != null && now - cached.rankedAtMs < RANKING_TTL_MS) {
+      return cached.hosts;
     }
     List<HostRegistration> ranked =
-        SchedulerRanking.rank(service, peers.eligibleSchedulers(now), RANKED);
+        SchedulerRanking.rank(service, peers.eligibleSchedulers(now), RANKING_SIZE);
     rankings.put(service, new Ranking(ranked, now));
     return ranked;
   }
 
-  private void silent(Pending p) {
-    Address asked = p.asked;
-    if (pending.get(p.ask.key().sequenceNumber()) != p || asked == null) {
+  private void onResponseTimeout(PendingRequest pendingRequest) {
+    Address scheduler = pendingRequest.scheduler;
+    if (pendingRequests.get(pendingRequest.request.key().sequenceNumber()) != pendingRequest
+        || scheduler == null) {
       return;
     }
-    if (!p.waits && !p.resent) {
-      p.resent = true;
-      send(p, asked, ANSWER_TIMEOUT_MS);
+    if (!pendingRequest.queued && !pendingRequest.resent) {
+      pendingRequest.resent = true;
+      sendRequest(pendingRequest, scheduler, RESPONSE_TIMEOUT_MS);
       return;
     }
-    link.send(new LinkMessage.RequestCancelled(p.service, p.ask.key()), asked);
-    passOver(p, asked, "silent");
+    link.send(
+        new LinkMessage.RequestCancelled(pendingRequest.service, pendingRequest.request.key()),
+        scheduler);
+    skipScheduler(pendingRequest, scheduler, "silent");
   }
 
-  /** Asks the next host, and none of this one's asks goes to the given one for a while. */
-  private void passOver(Pending p, Address asked, String why) {
-    p.stopTimer();
-    suspects.put(asked, clock.getAsLong());
+  /** Sends the request to the next host, and no requests to the given host for a while. */
+  private void skipScheduler(PendingRequest pendingRequest, Address scheduler, String reason) {
+    pendingRequest.stopTimer();
+    suspectedAtMs.put(scheduler, clock.getAsLong());
     log.event("scheduler_passed_over")
-        .with("why", why)
-        .with("service", p.service)
-        .with("asked", asked.toString())
-        .with("ask", p.ask.key().sequenceNumber())
+        .with("why", reason)
+        .with("service", pendingRequest.service)
+        .with("asked", scheduler.toString())
+        .with("ask", pendingRequest.request.key().sequenceNumber())
         .write();
-    if (p.waits) {
-      finish(p, new PlacementDecision.Rejected(p.ask.key(), ANSWER_TIMEOUT_MS));
+    if (pendingRequest.queued) {
+      complete(
+          pendingRequest,
+          new PlacementDecision.Rejected(pendingRequest.request.key(), RESPONSE_TIMEOUT_MS));
     } else {
-      ask(p);
+      askScheduler(pendingRequest);
     }
   }
 
-  private void decided(PlacementDecision v, Address from) {
-    Pending p = pending.get(v.key().sequenceNumber());
-    boolean expected = p != null && from.equals(p.asked);
-    if (p == null || !expected) {
-      if (v instanceof PlacementDecision.Placed placed) {
-        giveBack(p, placed, from);
+  private void handleDecision(PlacementDecision placementDecision, Address from) {
+    PendingRequest pendingRequest = pendingRequests.get(placementDecision.key().sequenceNumber());
+    boolean expected = pendingRequest != null && from.equals(pendingRequest.scheduler);
+    if (pendingRequest == null || !expected) {
+      if (placementDecision instanceof PlacementDecision.Placed placed) {
+        returnPlacement(pendingRequest, placed, from);
       }
       return;
     }
-    if (v instanceof PlacementDecision.Queued) {
-      p.stopTimer();
-      p.waits = true;
-      long wait = p.ask.deadlineRemainingMs();
-      p.startTimer(loop.schedule(() -> silent(p), wait, TimeUnit.MILLISECONDS));
+    if (placementDecision instanceof PlacementDecision.Queued) {
+      pendingRequest.stopTimer();
+      pendingRequest.queued = true;
+      long waitMs = pendingRequest.request.deadlineRemainingMs();
+      pendingRequest.startTimer(
+          loop.schedule(() -> onResponseTimeout(pendingRequest), waitMs, TimeUnit.MILLISECONDS));
       return;
     }
-    if (v instanceof PlacementDecision.Placed) {
-      placedBy.put(v.key().sequenceNumber(), from);
+    if (placementDecision instanceof PlacementDecision.Placed) {
+      schedulerByRequest.put(placementDecision.key().sequenceNumber(), from);
     }
-    finish(p, v);
+    complete(pendingRequest, placementDecision);
   }
 
-  private void giveBack(@Nullable Pending p, PlacementDecision.Placed v, Address from) {
-    if (from.equals(placedBy.get(v.key().sequenceNumber()))) {
+  private void returnPlacement(
+      @Nullable PendingRequest pendingRequest,
+      PlacementDecision.Placed placementDecision,
+      Address from) {
+    if (from.equals(schedulerByRequest.get(placementDecision.key().sequenceNumber()))) {
       return;
     }
     var unused =
-        new AttemptReport(v.key(), v.upstream().id(), AttemptOutcome.UNUSED, 0, Optional.empty());
-    String service = p != null ? p.service : v.upstream().service();
+        new AttemptReport(
+            placementDecision.key(),
+            placementDecision.upstream().id(),
+            AttemptOutcome.UNUSED,
+            0,
+            Optional.empty());
+    String service =
+        pendingRequest != null ? pendingRequest.service : placementDecision.upstream().service();
     link.send(new LinkMessage.AttemptsEnded(service, List.of(unused)), from);
   }
 
-  /** Passes on a verdict of this host's own schedulers. */
-  private void deliver(PlacementDecision v) {
-    if (v.key().hostHash() != self) {
-      Address asker = askers.get(v.key().hostHash());
-      if (asker != null) {
-        link.send(new LinkMessage.DecisionMade(v), asker);
+  /** Delivers a decision of this host's own schedulers. */
+  private void handleLocalDecision(PlacementDecision placementDecision) {
+    if (placementDecision.key().hostHash() != selfHash) {
+      Address requester = requesters.get(placementDecision.key().hostHash());
+      if (requester != null) {
+        link.send(new LinkMessage.DecisionMade(placementDecision), requester);
       }
       return;
     }
-    Pending p = pending.get(v.key().sequenceNumber());
-    if (p != null && p.asked == null && !(v instanceof PlacementDecision.Queued)) {
-      finish(p, v);
+    PendingRequest pendingRequest = pendingRequests.get(placementDecision.key().sequenceNumber());
+    if (pendingRequest != null
+        && pendingRequest.scheduler == null
+        && !(placementDecision instanceof PlacementDecision.Queued)) {
+      complete(pendingRequest, placementDecision);
     }
   }
 
-  private void finish(Pending p, PlacementDecision v) {
-    pending.remove(p.ask.key().sequenceNumber());
-    p.stopTimer();
-    p.end.accept(v);
+  private void complete(PendingRequest pendingRequest, PlacementDecision placementDecision) {
+    pendingRequests.remove(pendingRequest.request.key().sequenceNumber());
+    pendingRequest.stopTimer();
+    pendingRequest.callback.accept(placementDecision);
   }
 
-  private record Ranking(List<HostRegistration> hosts, long sinceMs) {}
+  private record Ranking(List<HostRegistration> hosts, long rankedAtMs) {}
 
-  private static final class Pending {
+  private static final class PendingRequest {
     private final String service;
-    private final PlacementRequest ask;
-    private final Consumer<PlacementDecision> end;
-    private int tries;
+    private final PlacementRequest request;
+    private final Consumer<PlacementDecision> callback;
+    private int attempts;
     private boolean resent;
-    private boolean waits;
-    private @Nullable Address asked;
+    private boolean queued;
+    private @Nullable Address scheduler;
     private @Nullable Future<?> timer;
 
-    Pending(String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
+    PendingRequest(String service, PlacementRequest request, Consumer<PlacementDecision> callback) {
       this.service = service;
-      this.ask = ask;
-      this.end = end;
+      this.request = request;
+      this.callback = callback;
     }
 
-    void startTimer(Future<?> t) {
-      timer = t;
+    void startTimer(Future<?> newTimer) {
+      timer = newTimer;
     }
 
     void stopTimer() {
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
@@ -12,27 +12,27 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.function.Consumer;
 
-/** Asks upstreams for their load, outside any request. Confined to the event loop. */
+/** Probes upstreams for their current load. Confined to the event loop. */
 public final class UpstreamProber {
-  private static final long TIMEOUT_MS = 300;
+  private static final long PROBE_TIMEOUT_MS = 300;
 
   private final HttpClient client;
-  private final UpstreamHeaders wire;
+  private final UpstreamHeaders upstreamHeaders;
   private long sentProbeCount;
 
   /**
    * Creates a prober.
    *
-   * @param client connections to upstreams
-   * @param wire header fields
+   * @param client the HTTP client for upstreams
+   * @param upstreamHeaders reads the header fields of probe responses
    */
-  public UpstreamProber(HttpClient client, UpstreamHeaders wire) {
+  public UpstreamProber(HttpClient client, UpstreamHeaders upstreamHeaders) {
     this.client = client;
-    this.wire = wire;
+    this.upstreamHeaders = upstreamHeaders;
   }
 
   /**
-   * Counts the probes sent so far.
+   * Returns the number of probes sent so far.
    *
    * @return the count
    */
@@ -40,26 +40,26 @@
     return sentProbeCount;
   }
 
-  void probe(UpstreamRegistration u, String path, Consumer<ReportedLoad> figures) {
+  void probe(UpstreamRegistration upstream, String path, Consumer<ReportedLoad> onLoad) {
     sentProbeCount++;
     HttpHeaders headers = new DefaultHttpHeaders();
-    headers.set(HttpHeaderNames.HOST, u.address().toString());
+    headers.set(HttpHeaderNames.HOST, upstream.address().toString());
     var request =
         new Outgoing(
-            u.connectionPoolKey(),
-            u.address(),
+            upstream.connectionPoolKey(),
+            upstream.address(),
             HttpMethod.GET,
             path,
             headers,
             new byte[0],
-            h -> wire.isProbeResponse(h, u.id()),
+            responseHeaders -> upstreamHeaders.isProbeResponse(responseHeaders, upstream.id()),
             Long.MAX_VALUE);
     client.send(
         request,
-        TIMEOUT_MS,
+        PROBE_TIMEOUT_MS,
         reply -> {
-          if (reply instanceof Reply.Answer a) {
-            wire.reportedLoad(a.headers()).ifPresent(figures);
+          if (reply instanceof Reply.Answer response) {
+            upstreamHeaders.reportedLoad(response.headers()).ifPresent(onLoad);
           }
         });
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between hosts: heartbeats, asks for a place, and their verdicts. */
+/** Messages between hosts, and the placement of requests on upstreams. */
 @NullMarked
 package dev.cactusstack.gateway.scheduling;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationChange.java
@@ -8,13 +8,15 @@
 import java.util.Optional;
 
 /**
- * What the store says of the configuration. Immutable and thread-safe.
+ * A change of the configuration as read from the store. Immutable and thread-safe.
  *
- * @param revision the store's revision that this brings up to
- * @param lastChangeRevision the revision of the newest change in it, 0 if there is none
- * @param fullSnapshot whether this is everything, so that what isn't named isn't there
+ * @param revision the store's revision after this change
+ * @param lastChangeRevision the revision of the newest change it contains, 0 if there is none
+ * @param fullSnapshot whether this is the full configuration, so that anything absent from it does
+ *     not exist
  * @param rules routes, services and limits, if they changed
- * @param evacuations data centres by name, with true while they get no work
+ * @param evacuations evacuation state by data centre name, true while the data centre receives no
+ *     requests
  */
 public record ConfigurationChange(
     long revision,
@@ -28,12 +30,12 @@
   }
 
   /**
-   * The operators' rules. Immutable and thread-safe.
+   * Routes, services and limits as configured by operators. Immutable and thread-safe.
    *
-   * @param version the operators' version
+   * @param version the version that operators gave the rules
    * @param routes all routes
    * @param services all services by name
-   * @param limits bounds on what callers may send
+   * @param limits limits on what callers may send
    */
   public record RoutingRules(
       long version,
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationSnapshot.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationSnapshot.java
@@ -6,7 +6,7 @@
 /**
  * A configuration with the revision of its newest change. Immutable and thread-safe.
  *
- * @param configuration all that operators say, as of its revision
+ * @param configuration the full configuration as of its revision
  * @param lastChangeRevision the store's revision of the newest change in it
  */
 public record ConfigurationSnapshot(SiteConfiguration configuration, long lastChangeRevision) {
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What lasts: the operators' configuration, the upstreams' entries, and the hosts' entries.
+ * Persistent store of the operators' configuration and of the registrations of upstreams and hosts.
  *
  * <p>Futures complete on the host's event loop, exceptionally with a {@link StoreException}.
  */
@@ -20,51 +20,51 @@
   /**
    * Waits for a change of the configuration.
    *
-   * @param after the revision that is known
-   * @param waitMs longest time to wait, in milliseconds
-   * @return what has changed, possibly nothing
+   * @param knownRevision the last revision that the host has read
+   * @param maxWaitMs maximum time to wait, in milliseconds
+   * @return the changes since that revision, possibly none
    */
-  CompletableFuture<ConfigurationChange> watchConfiguration(long after, long waitMs);
+  CompletableFuture<ConfigurationChange> watchConfiguration(long knownRevision, long maxWaitMs);
 
   /**
-   * Reads all upstreams.
+   * Reads the registrations of all upstreams.
    *
-   * @return all entries
+   * @return all registrations
    */
   CompletableFuture<UpstreamChange> readUpstreams();
 
   /**
-   * Reads which upstreams have changed.
+   * Reads the upstream registrations that have changed.
    *
-   * @param after the revision that is known
-   * @return what has changed, possibly nothing
+   * @param knownRevision the last revision that the host has read
+   * @return the changes since that revision, possibly none
    */
-  CompletableFuture<UpstreamChange> readUpstreamChanges(long after);
+  CompletableFuture<UpstreamChange> readUpstreamChanges(long knownRevision);
 
   /**
-   * Reads all hosts.
+   * Reads the registrations of all hosts.
    *
-   * @return their entries
+   * @return their registrations
    */
   CompletableFuture<List<HostRegistration>> readHosts();
 
   /**
-   * Writes this host's entry.
+   * Registers this host.
    *
-   * @param entry the entry; its incarnation is not used
-   * @return the entry with the incarnation that the store gave it
+   * @param registration the registration; its incarnation is ignored
+   * @return the registration with the incarnation that the store assigned
    */
-  CompletableFuture<HostRegistration> register(HostRegistration entry);
+  CompletableFuture<HostRegistration> register(HostRegistration registration);
 
   /**
-   * Counts the calls made so far.
+   * Returns the number of calls made so far.
    *
    * @return the count
    */
   long callCount();
 
   /**
-   * Counts the calls that brought no result.
+   * Returns the number of calls that failed.
    *
    * @return the count
    */
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/StoreException.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/StoreException.java
@@ -2,27 +2,27 @@
 
 import java.util.Objects;
 
-/** A call of the store that brought no result. Immutable. */
+/** Thrown when a call of the store fails. Immutable. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
-  /** What is known of the call. */
+  /** What is known about the effect of the failed call. */
   public enum Kind {
-    /** Nothing was done. */
+    /** The call had no effect. */
     NOT_APPLIED,
-    /** It may have been done. */
+    /** The call may have taken effect. */
     UNKNOWN,
-    /** The changes asked for are no longer kept; read everything again. */
+    /** The store no longer keeps the requested changes; everything must be read again. */
     HISTORY_UNAVAILABLE
   }
 
   private final Kind kind;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param kind what is known of the call
-   * @param message what happened, and what to do
+   * @param kind what is known about the effect of the call
+   * @param message the cause and the remedy
    */
   public StoreException(Kind kind, String message) {
     super(message, null, false, false);
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Returns what is known of the call.
+   * Returns what is known about the effect of the call.
    *
    * @return the kind
    */
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * What the store says of upstreams. Immutable and thread-safe.
+ * A change of upstream registrations as read from the store. Immutable and thread-safe.
  *
- * @param revision the store's revision that this brings up to
- * @param fullSnapshot whether this is everything, so that what isn't named isn't there
- * @param registrations entries by identity; empty ones name no upstream
+ * @param revision the store's revision after this change
+ * @param fullSnapshot whether these are all registrations, so that an absent upstream does not
+ *     exist
+ * @param registrations registrations by upstream identity; empty if removed or not a valid upstream
  */
 public record UpstreamChange(
     long revision,
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamHeaders.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamHeaders.java
@@ -8,7 +8,7 @@
 /** Reads and writes the header fields that callers, hosts and upstreams exchange. Thread-safe. */
 public interface UpstreamHeaders {
   /**
-   * Returns the id of a request or of the request that an answer belongs to.
+   * Returns the id of a request, or of the request that a response belongs to.
    *
    * @param headers a message's header fields
    * @return the id
@@ -16,61 +16,61 @@
   Optional<String> requestId(HttpHeaders headers);
 
   /**
-   * Writes which request an answer of the system's own belongs to.
+   * Sets the request id on a response that this host creates itself.
    *
-   * @param headers the answer's header fields
+   * @param headers the response's header fields
    * @param requestId the request's id
    */
   void setRequestId(HttpHeaders headers, String requestId);
 
   /**
-   * Returns how long the caller waits.
+   * Returns the caller's timeout.
    *
    * @param headers a request's header fields
-   * @return milliseconds
+   * @return the timeout in milliseconds, if the request has one
    */
   OptionalLong deadlineMs(HttpHeaders headers);
 
   /**
-   * Writes what an upstream needs to know.
+   * Adds the header fields that an upstream needs to a request.
    *
    * @param headers the header fields of a request to an upstream
-   * @param deadlineMs time left, in milliseconds
-   * @param upstream identity of the upstream that is meant
+   * @param deadlineMs time until the deadline, in milliseconds
+   * @param upstreamId identity of the upstream that the request is sent to
    */
-  void addUpstreamHeaders(HttpHeaders headers, long deadlineMs, String upstream);
+  void addUpstreamHeaders(HttpHeaders headers, long deadlineMs, String upstreamId);
 
   /**
-   * Tells whether an upstream says that it did not run the request.
+   * Returns whether an upstream reports that it did not run the request.
    *
-   * @param status the answer's status
-   * @param headers the answer's header fields
-   * @return true when the request did not run and never will
+   * @param status the response's status
+   * @param headers the response's header fields
+   * @return true if the request has not run and never will
    */
   boolean reportsNotRun(int status, HttpHeaders headers);
 
   /**
-   * Tells whether an answer is the one to a probe.
+   * Returns whether a response answers a probe of an upstream.
    *
-   * @param headers the answer's header fields
-   * @param upstream identity of the upstream that was probed
-   * @return true when that upstream answers a probe
+   * @param headers the response's header fields
+   * @param upstreamId identity of the upstream that was probed
+   * @return true if it is a probe response of that upstream
    */
-  boolean isProbeResponse(HttpHeaders headers, String upstream);
+  boolean isProbeResponse(HttpHeaders headers, String upstreamId);
 
   /**
-   * Tells whether an answer bears the upstream's signature.
+   * Returns whether a response carries the upstream's signature.
    *
-   * @param headers the answer's header fields
-   * @return true when it does
+   * @param headers the response's header fields
+   * @return true if it is signed
    */
   boolean isSigned(HttpHeaders headers);
 
   /**
-   * Returns what an upstream says of its load.
+   * Returns the load that an upstream reports.
    *
-   * @param headers the answer's header fields
-   * @return the figures
+   * @param headers the response's header fields
+   * @return the reported load, if present
    */
   Optional<ReportedLoad> reportedLoad(HttpHeaders headers);
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/package-info.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/package-info.java
@@ -1,4 +1,4 @@
-/** What the host needs from its site: the store, and the header fields of messages. */
+/** Interfaces that a site implements: the store, and the header fields of HTTP messages. */
 @NullMarked
 package dev.cactusstack.gateway.site;
 
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/PlacementDuringStoreOutageTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/PlacementDuringStoreOutageTest.java
@@ -25,14 +25,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a host decides for others while it has not read the upstreams and the store is away. */
+/**
+ * Guards against a host that rejects requests of other hosts because it knows no upstreams, when it
+ * starts during a store outage and has never read them.
+ */
 class PlacementDuringStoreOutageTest {
-  private static final Address OTHER = new Address("127.0.0.1", 9);
+  private static final Address OTHER_HOST = new Address("127.0.0.1", 9);
 
-  private final VirtualLoop time = new VirtualLoop();
+  private final VirtualTimeLoop time = new VirtualTimeLoop();
   private final FakeStore store = new FakeStore();
-  private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
-  private final EventLog log = new EventLog(lines);
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
+  private final EventLog log = new EventLog(output);
   private final PeerTable peers = new PeerTable("self", 3_500, new Random(1));
   private final UpstreamsController upstreams =
       new UpstreamsController(time.loop(), time::nowMs, log, store, Optional::empty);
@@ -45,34 +48,34 @@
           upstreams,
           new UpstreamProber(
               new HttpClient(time.loop(), new ClientLimits(100, 100, false, 1_000), time::nowMs),
-              noWire()),
+              unusedHeaders()),
           () -> peers.anotherHostReachesStore(time.nowMs()));
   private final PlacementClient placement =
       new PlacementClient(
           time.loop(), time::nowMs, log, new Link(time.loop(), log), peers, schedulers, "self", 0);
 
-  private static UpstreamHeaders noWire() {
+  private static UpstreamHeaders unusedHeaders() {
     return (UpstreamHeaders)
         Proxy.newProxyInstance(
             UpstreamHeaders.class.getClassLoader(),
             new Class<?>[] {UpstreamHeaders.class},
             (proxy, method, args) -> {
-              throw new AssertionError("nothing is sent here");
+              throw new AssertionError("no message is expected in this test");
             });
   }
 
   @Test
-  void shouldNotTurnAskersAwayWhenItHasNeverReadTheUpstreams() {
-    var ask =
+  void shouldNotRejectARequestOfAnotherHostWhenItHasNeverReadTheUpstreams() {
+    var request =
         new PlacementRequest(
             new PlacementKey(7, 1), "dc", "r", 1, 300, 300, 1_000, 0, false, Set.of());
-    placement.onMessage(new LinkMessage.RequestSubmitted("s", ask), OTHER);
+    placement.onMessage(new LinkMessage.RequestSubmitted("s", request), OTHER_HOST);
     store
         .upstreamReads
         .get(0)
         .completeExceptionally(FakeStore.failure(StoreException.Kind.UNKNOWN));
     time.run(200);
     log.flush();
-    assertThat(lines.toString(StandardCharsets.UTF_8)).doesNotContain("outcome=turned-away");
+    assertThat(output.toString(StandardCharsets.UTF_8)).doesNotContain("outcome=turned-away");
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/VirtualTimeLoop.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/VirtualTimeLoop.java
@@ -4,12 +4,12 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.util.concurrent.TimeUnit;
 
-/** An event loop in virtual time. */
-final class VirtualLoop {
+/** An event loop that runs in virtual time. */
+final class VirtualTimeLoop {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMs = 1_000_000;
 
-  VirtualLoop() {
+  VirtualTimeLoop() {
     channel.freezeTime();
   }
 
--- a/gateway/src/test/java/dev/cactusstack/gateway/observe/PrometheusFormatTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/observe/PrometheusFormatTest.java
@@ -6,22 +6,22 @@
 import org.junit.jupiter.api.Test;
 
 class PrometheusFormatTest {
-  private final GatewayMetrics figures = new GatewayMetrics();
+  private final GatewayMetrics metrics = new GatewayMetrics();
 
   private String text() {
-    return new String(PrometheusFormat.format(figures), StandardCharsets.UTF_8);
+    return new String(PrometheusFormat.format(metrics), StandardCharsets.UTF_8);
   }
 
   @Test
-  void shouldWriteCountersAndHistogramsOfEachRoute() {
-    RouteMetrics r = figures.route("search");
-    r.recordAnsweredRequest(90);
-    r.recordAnsweredRequest(7_000);
-    r.recordSentAttempt(3);
-    r.recordAttemptOutcome("answered");
-    r.recordRefusal("no-room");
-    r.recordRetryDecision(false);
-    figures.registerCounter("cactusstack_store_calls", "Calls of the store", () -> 12);
+  void shouldWriteCountersAndHistogramsWhenARouteHasTraffic() {
+    RouteMetrics routeMetrics = metrics.route("search");
+    routeMetrics.recordAnsweredRequest(90);
+    routeMetrics.recordAnsweredRequest(7_000);
+    routeMetrics.recordSentAttempt(3);
+    routeMetrics.recordAttemptOutcome("answered");
+    routeMetrics.recordRefusal("no-room");
+    routeMetrics.recordRetryDecision(false);
+    metrics.registerCounter("cactusstack_store_calls", "Calls of the store", () -> 12);
     assertThat(text())
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"0.1\"} 1")
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"+Inf\"} 2")
@@ -34,11 +34,11 @@
   }
 
   @Test
-  void shouldCountRoutesTogetherWhenThereAreTooMany() {
+  void shouldCountFurtherRoutesTogetherWhenThereAreTooMany() {
     for (int i = 0; i < GatewayMetrics.MAX_ROUTES + 50; i++) {
-      figures.route("r" + i).recordAnsweredRequest(1);
+      metrics.route("r" + i).recordAnsweredRequest(1);
     }
-    assertThat(figures.routes()).hasSize(GatewayMetrics.MAX_ROUTES + 1);
+    assertThat(metrics.routes()).hasSize(GatewayMetrics.MAX_ROUTES + 1);
     assertThat(text()).contains("cactusstack_request_seconds_count{route=\"other\"} 50");
   }
 }
