--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -3,15 +3,15 @@
 import dev.cactusstack.decisions.directory.DirectoryPolicy;
 import dev.cactusstack.decisions.gossip.PeerTable;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.gateway.callers.CallersPort;
-import dev.cactusstack.gateway.callers.Filter;
-import dev.cactusstack.gateway.callers.MetricsFilter;
-import dev.cactusstack.gateway.callers.RequestTools;
-import dev.cactusstack.gateway.callers.ServeFilter;
+import dev.cactusstack.gateway.callers.CallerListener;
+import dev.cactusstack.gateway.callers.RequestHandler;
+import dev.cactusstack.gateway.callers.MetricsHandler;
+import dev.cactusstack.gateway.callers.ForwardingContext;
+import dev.cactusstack.gateway.callers.ForwardingHandler;
 import dev.cactusstack.gateway.control.ConfigurationController;
 import dev.cactusstack.gateway.control.HostsController;
 import dev.cactusstack.gateway.control.UpstreamsController;
-import dev.cactusstack.gateway.net.ClientLimits;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.observe.GatewayMetrics;
@@ -69,10 +69,10 @@
   private final Link link;
   private final PlacementClient placement;
   private final HttpClient client;
-  private final CallersPort callers;
-  private final CallersPort readiness;
-  private final CallersPort directory;
-  private final CallersPort metrics;
+  private final CallerListener callers;
+  private final CallerListener readiness;
+  private final CallerListener directory;
+  private final CallerListener metrics;
   private boolean draining;
 
   /**
@@ -141,7 +141,7 @@
     this.client =
         new HttpClient(
             loop,
-            new ClientLimits(CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
+            new HttpClientSettings(CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
             clock);
     var prober = new UpstreamProber(client, upstreamHeaders);
     var schedulers =
@@ -164,12 +164,12 @@
             settings.host(),
             random.nextLong(MAX_INITIAL_SEQUENCE_NUMBER));
     var retryBudget =
-        new RequestTools.RepeatBudget(
+        new ForwardingContext.RetryBudget(
             siteBounds.retryWindowMs(),
             siteBounds.retryRatio() * RETRY_RATIO_SHARE,
             () -> siteBounds.retryAllowance() * RETRY_ALLOWANCE_SHARE / peers.size());
     var tools =
-        new RequestTools(
+        new ForwardingContext(
             settings.dataCentre(),
             loop,
             clock,
@@ -180,10 +180,10 @@
             retryBudget,
             gatewayMetrics);
     Endpoints siteEndpoints = endpoints.apply(this);
-    this.callers = createPort(List.of(new ServeFilter(configuration, tools)));
+    this.callers = createPort(List.of(new ForwardingHandler(configuration, tools)));
     this.readiness = createPort(List.of(siteEndpoints.readiness()));
     this.directory = createPort(List.of(siteEndpoints.directory()));
-    this.metrics = createPort(List.of(new MetricsFilter(gatewayMetrics)));
+    this.metrics = createPort(List.of(new MetricsHandler(gatewayMetrics)));
     registerCounters(gatewayMetrics, store, prober);
   }
 
@@ -192,7 +192,7 @@
     registry.registerCounter(
         "cactusstack_store_failures", "Failed calls to the store", store::failedCallCount);
     registry.registerCounter(
-        "cactusstack_upstream_connections", "Connections opened to upstreams", client::opened);
+        "cactusstack_upstream_connections", "Connections opened to upstreams", client::openedConnections);
     registry.registerCounter(
         "cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
     registry.registerCounter(
@@ -209,10 +209,10 @@
    * @param readiness answers whether the host is ready
    * @param directory answers which addresses callers should use
    */
-  public record Endpoints(Filter readiness, Filter directory) {}
+  public record Endpoints(RequestHandler readiness, RequestHandler directory) {}
 
-  private CallersPort createPort(List<Filter> chain) {
-    return new CallersPort(loop, chain, configuration::limits, clock);
+  private CallerListener createPort(List<RequestHandler> chain) {
+    return new CallerListener(loop, chain, configuration::limits, clock);
   }
 
   /**
@@ -276,11 +276,11 @@
   }
 
   private void sweep() {
-    client.closeIdle();
-    callers.sweep();
-    readiness.sweep();
-    directory.sweep();
-    metrics.sweep();
+    client.closeIdleConnections();
+    callers.closeTimedOutConnections();
+    readiness.closeTimedOutConnections();
+    directory.closeTimedOutConnections();
+    metrics.closeTimedOutConnections();
   }
 
   /**
@@ -319,7 +319,7 @@
     draining = true;
     log.event("leaving").with("in_flight", callers.inFlight()).write();
     hosts.announceLeaving();
-    callers.lastAnswers();
+    callers.startDraining();
     loop.schedule(callers::stopListening, DRAIN_ACCEPT_MS, TimeUnit.MILLISECONDS);
     long startMs = clock.getAsLong();
     completeWhenDrained(drained, startMs);
@@ -330,7 +330,7 @@
     long elapsedMs = clock.getAsLong() - startMs;
     boolean accepting = elapsedMs < DRAIN_ACCEPT_MS;
     if (!accepting) {
-      callers.closeQuiet();
+      callers.closeUnusedConnections();
     }
     boolean idle = !accepting && callers.inFlight() == 0;
     if (idle || elapsedMs > settings.bounds().terminationGraceMs() - EXIT_MARGIN_MS) {
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
@@ -34,7 +34,7 @@
  * @param repeatBudget the bounds for repeats
  * @param figures counts what happens
  */
-public record RequestTools(
+public record ForwardingContext(
     String dataCentre,
     EventLoop loop,
     LongSupplier clock,
@@ -47,7 +47,7 @@
     Map<String, IdleReuseLimit> rests,
     ProcessingTimes workTimes,
     CallerElapsedTime patience,
-    RepeatBudget repeatBudget,
+    RetryBudget repeatBudget,
     GatewayMetrics figures) {
 
   /**
@@ -63,7 +63,7 @@
    * @param repeatBudget the bounds for repeats
    * @param figures counts what happens
    */
-  public RequestTools(
+  public ForwardingContext(
       String dataCentre,
       EventLoop loop,
       LongSupplier clock,
@@ -71,9 +71,9 @@
       UpstreamHeaders wire,
       HttpClient client,
       PlacementClient placement,
-      RepeatBudget repeatBudget,
+      RetryBudget repeatBudget,
       GatewayMetrics figures) {
-    this(
+    ForwardingContext(
         dataCentre,
         loop,
         clock,
@@ -99,8 +99,8 @@
     return rests.computeIfAbsent(service, s -> new IdleReuseLimit());
   }
 
-  ReplyJudge judge() {
-    return new ReplyJudge(wire);
+  AttemptClassifier judge() {
+    return new AttemptClassifier(wire);
   }
 
   boolean mayRepeat(String service) {
@@ -115,5 +115,5 @@
    * @param ratio repeats allowed for each request
    * @param allowance this host's part of the fixed allowance of a window
    */
-  public record RepeatBudget(long windowMs, double ratio, DoubleSupplier allowance) {}
+  public record RetryBudget(long windowMs, double ratio, DoubleSupplier allowance) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsFilter.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
@@ -13,18 +13,18 @@
  *
  * @param figures what the host has counted
  */
-public record MetricsFilter(GatewayMetrics figures) implements Filter {
+public record MetricsHandler(GatewayMetrics figures) implements RequestHandler {
   private static final String PATH = "/metrics";
   private static final int OK = 200;
 
   @Override
-  public Optional<Running> take(CallerRequest request, Consumer<CallerAnswer> answer) {
+  public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
     if (!request.target().equals(PATH)) {
       return Optional.empty();
     }
     HttpHeaders h = new DefaultHttpHeaders();
     h.set(HttpHeaderNames.CONTENT_TYPE, PrometheusFormat.CONTENT_TYPE);
-    answer.accept(new CallerAnswer(OK, h, PrometheusFormat.format(figures)));
-    return Optional.of(Running.NOTHING);
+    answer.accept(new CallerResponse(OK, h, PrometheusFormat.format(figures)));
+    return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
@@ -2,8 +2,8 @@
 
 import dev.cactusstack.decisions.placing.ReportedLoad;
 import dev.cactusstack.gateway.net.HttpClient;
-import dev.cactusstack.gateway.net.Outgoing;
-import dev.cactusstack.gateway.net.Reply;
+import dev.cactusstack.gateway.net.OutgoingRequest;
+import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -45,7 +45,7 @@
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.HOST, upstream.address().toString());
     var request =
-        new Outgoing(
+        new OutgoingRequest(
             upstream.connectionPoolKey(),
             upstream.address(),
             HttpMethod.GET,
@@ -58,7 +58,7 @@
         request,
         PROBE_TIMEOUT_MS,
         reply -> {
-          if (reply instanceof Reply.Answer response) {
+          if (reply instanceof ExchangeResult.Response response) {
             upstreamHeaders.reportedLoad(response.headers()).ifPresent(onLoad);
           }
         });
