--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -3,25 +3,25 @@
 import dev.cactusstack.decisions.directory.DirectoryPolicy;
 import dev.cactusstack.decisions.gossip.PeerTable;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.gateway.callers.CallersPort;
-import dev.cactusstack.gateway.callers.Filter;
-import dev.cactusstack.gateway.callers.MetricsFilter;
-import dev.cactusstack.gateway.callers.RequestTools;
-import dev.cactusstack.gateway.callers.ServeFilter;
+import dev.cactusstack.gateway.callers.CallerListener;
+import dev.cactusstack.gateway.callers.RequestHandler;
+import dev.cactusstack.gateway.callers.MetricsHandler;
+import dev.cactusstack.gateway.callers.ForwardingContext;
+import dev.cactusstack.gateway.callers.ForwardingHandler;
 import dev.cactusstack.gateway.control.ConfigurationController;
 import dev.cactusstack.gateway.control.HostsController;
 import dev.cactusstack.gateway.control.UpstreamsController;
-import dev.cactusstack.gateway.net.ClientLimits;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.observe.Figures;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.scheduling.Prober;
-import dev.cactusstack.gateway.scheduling.Schedulers;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.scheduling.UpstreamProber;
+import dev.cactusstack.gateway.scheduling.LocalSchedulers;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.HostRegistration;
 import io.netty.channel.EventLoop;
@@ -39,23 +39,23 @@
  * for the constructor.
  */
 public final class Gateway {
-  private static final long SWEEP_MS = 1_000;
-  private static final long DEAD_AFTER_MS = 3_500;
-  private static final long ACCEPT_WHILE_LEAVING_MS = 3_000;
-  private static final long LEAVING_CHECK_MS = 50;
+  private static final long IDLE_CHECK_INTERVAL_MS = 1_000;
+  private static final long PEER_TIMEOUT_MS = 3_500;
+  private static final long DRAIN_ACCEPT_MS = 3_000;
+  private static final long DRAIN_CHECK_INTERVAL_MS = 50;
   private static final long EXIT_MARGIN_MS = 500;
-  private static final int ENOUGH_HOSTS = 2;
-  private static final int MOST_HOSTS = 64;
-  private static final long FIRST_ASKS = 1L << 40;
+  private static final int MIN_DIRECTORY_HOSTS = 2;
+  private static final int MAX_DIRECTORY_HOSTS = 64;
+  private static final long MAX_INITIAL_SEQUENCE_NUMBER = 1L << 40;
   private static final int CONNECT_TIMEOUT_MS = 400;
-  private static final long IDLE_CONNECTION_MS = 8_000;
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
-  private static final double CROSS_DATA_CENTRE_MS = 12;
+  private static final long MAX_IDLE_CONNECTION_MS = 8_000;
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
+  private static final double CROSS_DATA_CENTRE_ROUND_TRIP_MS = 12;
   private static final double CROSS_DATA_CENTRE_MS_PER_KB = 1;
-  private static final double CONNECT_MS = 12;
-  private static final double COLD_SHARE = 0.45;
-  private static final double REPEAT_RATIO_SHARE = 0.9;
-  private static final double REPEAT_ALLOWANCE_SHARE = 0.8;
+  private static final double CONNECT_COST_MS = 12;
+  private static final double WARMUP_RATE_SHARE = 0.45;
+  private static final double RETRY_RATIO_SHARE = 0.9;
+  private static final double RETRY_ALLOWANCE_SHARE = 0.8;
 
   private final GatewaySettings settings;
   private final EventLoop loop;
@@ -67,13 +67,13 @@
   private final HostsController hosts;
   private final PeerTable peers;
   private final Link link;
-  private final Placement placement;
+  private final PlacementClient placement;
   private final HttpClient client;
-  private final CallersPort callers;
-  private final CallersPort readiness;
-  private final CallersPort directory;
-  private final CallersPort metrics;
-  private boolean leaving;
+  private final CallerListener callers;
+  private final CallerListener readiness;
+  private final CallerListener directory;
+  private final CallerListener metrics;
+  private boolean draining;
 
   /**
    * Creates a host that has not started.
@@ -84,7 +84,7 @@
    * @param log where events are told
    * @param random spreads choices that need no reason
    * @param store what lasts
-   * @param wire header fields
+   * @param upstreamHeaders header fields
    * @param endpoints makes the filters for the site's questions to this host
    */
   public Gateway(
@@ -94,7 +94,7 @@
       EventLog log,
       Random random,
       SiteStore store,
-      UpstreamWire wire,
+      UpstreamHeaders upstreamHeaders,
       Function<Gateway, Endpoints> endpoints) {
     this.settings = settings;
     this.loop = loop;
@@ -103,15 +103,15 @@
     this.random = random;
     this.configuration =
         new ConfigurationController(loop, clock, log, store, this::readsConfiguration);
-    this.upstreams = new UpstreamsController(loop, clock, log, store, configuration::inForce);
-    this.peers = new PeerTable(settings.host(), DEAD_AFTER_MS, random);
+    this.upstreams = new UpstreamsController(loop, clock, log, store, configuration::activeConfiguration);
+    this.peers = new PeerTable(settings.host(), PEER_TIMEOUT_MS, random);
     this.link = new Link(loop, log);
     var self =
         new HostRegistration(
             settings.host(),
             settings.dataCentre(),
-            settings.callers(),
-            settings.link(),
+            settings.callersAddress(),
+            settings.linkAddress(),
             settings.milliCores(),
             0);
     this.hosts =
@@ -125,26 +125,26 @@
             configuration,
             self,
             random,
-            () -> !configuration.failing() && !upstreams.failing(),
-            () -> !upstreams.unread());
-    GatewaySettings.Bounds b = settings.bounds();
-    var figures = new Figures();
+            () -> !configuration.storeFailing() && !upstreams.isStoreFailing(),
+            () -> !upstreams.isNeverRead());
+    GatewaySettings.Bounds siteBounds = settings.bounds();
+    var gatewayMetrics = new GatewayMetrics();
     var schedulerSettings =
         new SchedulerSettings(
-            CROSS_DATA_CENTRE_MS,
+            CROSS_DATA_CENTRE_ROUND_TRIP_MS,
             CROSS_DATA_CENTRE_MS_PER_KB,
-            CONNECT_MS,
-            COLD_SHARE,
-            b.coldFactor(),
-            b.coldSlack());
+            CONNECT_COST_MS,
+            WARMUP_RATE_SHARE,
+            siteBounds.warmupRateFactor(),
+            siteBounds.warmupRateExtraPerSecond());
     this.client =
         new HttpClient(
             loop,
-            new ClientLimits(CONNECT_TIMEOUT_MS, IDLE_CONNECTION_MS, false, MAX_ANSWER_BYTES),
+            new HttpClientSettings(CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
             clock);
-    var prober = new Prober(client, wire);
+    var prober = new UpstreamProber(client, upstreamHeaders);
     var schedulers =
-        new Schedulers(
+        new LocalSchedulers(
             loop,
             clock,
             log,
@@ -153,7 +153,7 @@
             prober,
             () -> peers.anotherHostReachesStore(clock.getAsLong()));
     this.placement =
-        new Placement(
+        new PlacementClient(
             loop,
             clock,
             log,
@@ -161,30 +161,30 @@
             peers,
             schedulers,
             settings.host(),
-            random.nextLong(FIRST_ASKS));
-    var budget =
-        new RequestTools.RepeatBudget(
-            b.repeatWindowMs(),
-            b.repeatRatio() * REPEAT_RATIO_SHARE,
-            () -> b.repeatAllowance() * REPEAT_ALLOWANCE_SHARE / peers.size());
+            random.nextLong(MAX_INITIAL_SEQUENCE_NUMBER));
+    var retryBudget =
+        new ForwardingContext.RetryBudget(
+            siteBounds.retryWindowMs(),
+            siteBounds.retryRatio() * RETRY_RATIO_SHARE,
+            () -> siteBounds.retryAllowance() * RETRY_ALLOWANCE_SHARE / peers.size());
     var tools =
-        new RequestTools(
-            settings.dataCentre(), loop, clock, log, wire, client, placement, budget, figures);
-    Endpoints e = endpoints.apply(this);
-    this.callers = port(List.of(new ServeFilter(configuration, tools)));
-    this.readiness = port(List.of(e.readiness()));
-    this.directory = port(List.of(e.directory()));
-    this.metrics = port(List.of(new MetricsFilter(figures)));
-    count(figures, store, prober);
+        new ForwardingContext(
+            settings.dataCentre(), loop, clock, log, upstreamHeaders, client, placement, retryBudget, gatewayMetrics);
+    Endpoints siteEndpoints = endpoints.apply(this);
+    this.callers = createPort(List.of(new ForwardingHandler(configuration, tools)));
+    this.readiness = createPort(List.of(siteEndpoints.readiness()));
+    this.directory = createPort(List.of(siteEndpoints.directory()));
+    this.metrics = createPort(List.of(new MetricsHandler(gatewayMetrics)));
+    registerCounters(gatewayMetrics, store, prober);
   }
 
-  private void count(Figures f, SiteStore store, Prober prober) {
-    f.total("cactusstack_store_calls", "Calls of the store", store::calls);
-    f.total("cactusstack_store_failures", "Calls of the store without result", store::failedCalls);
-    f.total("cactusstack_upstream_connections", "Connections opened", client::opened);
-    f.total("cactusstack_upstream_probes", "Probes of upstreams", prober::sent);
-    f.total("cactusstack_link_messages", "Messages sent to other hosts", link::sent);
-    f.total("cactusstack_log_lines_dropped", "Log lines that were dropped", log::dropped);
+  private void registerCounters(GatewayMetrics f, SiteStore store, UpstreamProber prober) {
+    f.registerCounter("cactusstack_store_calls", "Calls of the store", store::callCount);
+    f.registerCounter("cactusstack_store_failures", "Calls of the store without result", store::failedCallCount);
+    f.registerCounter("cactusstack_upstream_connections", "Connections opened", client::openedConnections);
+    f.registerCounter("cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
+    f.registerCounter("cactusstack_link_messages", "Messages sent to other hosts", link::sentMessageCount);
+    f.registerCounter("cactusstack_log_lines_dropped", "Log lines that were dropped", log::droppedSinceFlush);
   }
 
   /**
@@ -193,10 +193,10 @@
    * @param readiness tells whether the host is ready
    * @param directory tells callers which addresses to use
    */
-  public record Endpoints(Filter readiness, Filter directory) {}
+  public record Endpoints(RequestHandler readiness, RequestHandler directory) {}
 
-  private CallersPort port(List<Filter> chain) {
-    return new CallersPort(loop, chain, configuration::limits, clock);
+  private CallerListener createPort(List<RequestHandler> chain) {
+    return new CallerListener(loop, chain, configuration::limits, clock);
   }
 
   /**
@@ -207,30 +207,30 @@
   public CompletableFuture<Void> start() {
     var opened = new CompletableFuture<Void>();
     callers
-        .open(settings.callers())
-        .addListener(f -> failIf(f.cause(), opened, settings.callers()));
+        .open(settings.callersAddress())
+        .addListener(f -> failOnError(f.cause(), opened, settings.callersAddress()));
     readiness
-        .open(settings.readiness())
-        .addListener(f -> failIf(f.cause(), opened, settings.readiness()));
+        .open(settings.readinessAddress())
+        .addListener(f -> failOnError(f.cause(), opened, settings.readinessAddress()));
     directory
-        .open(settings.directory())
-        .addListener(f -> failIf(f.cause(), opened, settings.directory()));
+        .open(settings.directoryAddress())
+        .addListener(f -> failOnError(f.cause(), opened, settings.directoryAddress()));
     metrics
-        .open(settings.metrics())
-        .addListener(f -> failIf(f.cause(), opened, settings.metrics()));
-    link.open(settings.link(), this::received)
+        .open(settings.metricsAddress())
+        .addListener(f -> failOnError(f.cause(), opened, settings.metricsAddress()));
+    link.open(settings.linkAddress(), this::dispatchMessage)
         .addListener(
             f -> {
-              failIf(f.cause(), opened, settings.link());
+              failOnError(f.cause(), opened, settings.linkAddress());
               opened.complete(null);
             });
-    configuration.start(upstreams::configurationChanged, hosts::tellOfChange);
+    configuration.start(upstreams::onConfigurationChanged, hosts::announceConfiguration);
     hosts.start();
-    loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(this::sweep, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     return opened;
   }
 
-  private static void failIf(
+  private static void failOnError(
       @org.jspecify.annotations.Nullable Throwable cause,
       CompletableFuture<Void> opened,
       Address address) {
@@ -240,28 +240,28 @@
     }
   }
 
-  private void received(LinkMessage m, Address from) {
-    if (m instanceof LinkMessage.Beat b) {
-      hosts.heard(b, from);
-    } else if (m instanceof LinkMessage.Rules r) {
-      configuration.told(r.known());
-    } else if (m instanceof LinkMessage.RulesWanted w) {
-      hosts.wanted(w, from);
+  private void dispatchMessage(LinkMessage m, Address from) {
+    if (m instanceof LinkMessage.Gossip b) {
+      hosts.onGossip(b, from);
+    } else if (m instanceof LinkMessage.ConfigurationUpdate r) {
+      configuration.onSnapshot(r.snapshot());
+    } else if (m instanceof LinkMessage.ConfigurationQuery w) {
+      hosts.onConfigurationQuery(w, from);
     } else {
-      placement.received(m, from);
+      placement.onMessage(m, from);
     }
   }
 
   private boolean readsConfiguration() {
-    return hosts.reads();
+    return hosts.isConfigurationReader();
   }
 
   private void sweep() {
-    client.closeIdle();
-    callers.sweep();
-    readiness.sweep();
-    directory.sweep();
-    metrics.sweep();
+    client.closeIdleConnections();
+    callers.closeTimedOutConnections();
+    readiness.closeTimedOutConnections();
+    directory.closeTimedOutConnections();
+    metrics.closeTimedOutConnections();
   }
 
   /**
@@ -269,8 +269,8 @@
    *
    * @return false before a configuration is known and once the host leaves
    */
-  public boolean ready() {
-    return !leaving && configuration.inForce().isPresent();
+  public boolean isReady() {
+    return !draining && configuration.activeConfiguration().isPresent();
   }
 
   /**
@@ -279,8 +279,8 @@
    * @param dataCentre the caller's data centre
    * @return where to connect, never empty while this host is ready
    */
-  public List<Address> addresses(String dataCentre) {
-    return new DirectoryPolicy(ENOUGH_HOSTS, MOST_HOSTS)
+  public List<Address> callerAddresses(String dataCentre) {
+    return new DirectoryPolicy(MIN_DIRECTORY_HOSTS, MAX_DIRECTORY_HOSTS)
         .choose(peers.usableHosts(clock.getAsLong()), dataCentre, random).stream()
             .map(HostRegistration::callerAddress)
             .toList();
@@ -292,33 +292,33 @@
    *
    * @return completes when the process can end
    */
-  public CompletableFuture<Void> leave() {
+  public CompletableFuture<Void> drain() {
     var left = new CompletableFuture<Void>();
-    if (leaving) {
+    if (draining) {
       return left;
     }
-    leaving = true;
+    draining = true;
     log.event("leaving").with("in_flight", callers.inFlight()).write();
-    hosts.leave();
-    callers.lastAnswers();
-    loop.schedule(callers::stopListening, ACCEPT_WHILE_LEAVING_MS, TimeUnit.MILLISECONDS);
+    hosts.announceLeaving();
+    callers.startDraining();
+    loop.schedule(callers::stopListening, DRAIN_ACCEPT_MS, TimeUnit.MILLISECONDS);
     long startMs = clock.getAsLong();
-    leaveWhenQuiet(left, startMs);
+    completeWhenDrained(left, startMs);
     return left;
   }
 
-  private void leaveWhenQuiet(CompletableFuture<Void> left, long startMs) {
+  private void completeWhenDrained(CompletableFuture<Void> left, long startMs) {
     long passed = clock.getAsLong() - startMs;
-    boolean accepting = passed < ACCEPT_WHILE_LEAVING_MS;
+    boolean accepting = passed < DRAIN_ACCEPT_MS;
     if (!accepting) {
-      callers.closeQuiet();
+      callers.closeUnusedConnections();
     }
     boolean quiet = !accepting && callers.inFlight() == 0;
-    if (quiet || passed > settings.bounds().graceMs() - EXIT_MARGIN_MS) {
+    if (quiet || passed > settings.bounds().terminationGraceMs() - EXIT_MARGIN_MS) {
       log.event("left").with("in_flight", callers.inFlight()).with("after_ms", passed).write();
       left.complete(null);
       return;
     }
-    loop.schedule(() -> leaveWhenQuiet(left, startMs), LEAVING_CHECK_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> completeWhenDrained(left, startMs), DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/GatewaySettings.java
@@ -8,22 +8,22 @@
  *
  * @param host the host's name
  * @param dataCentre the name of its data centre
- * @param callers where callers connect
- * @param readiness where the site asks whether the host is ready
- * @param directory where callers ask for addresses
- * @param metrics where the host's metrics are served
- * @param link where other hosts send datagrams
+ * @param callersAddress where callers connect
+ * @param readinessAddress where the site asks whether the host is ready
+ * @param directoryAddress where callers ask for addresses
+ * @param metricsAddress where the host's metrics are served
+ * @param linkAddress where other hosts send datagrams
  * @param milliCores the processor that the host has, in thousandths of a core
  * @param bounds what the site holds the host to
  */
 public record GatewaySettings(
     String host,
     String dataCentre,
-    Address callers,
-    Address readiness,
-    Address directory,
-    Address metrics,
-    Address link,
+    Address callersAddress,
+    Address readinessAddress,
+    Address directoryAddress,
+    Address metricsAddress,
+    Address linkAddress,
     int milliCores,
     Bounds bounds) {
   /** Checks the components. */
@@ -36,20 +36,20 @@
   /**
    * What the site holds hosts to. Immutable and thread-safe.
    *
-   * @param repeatRatio repeats for each request to a service, over all hosts
-   * @param repeatWindowMs length of the window in which that holds, in milliseconds
-   * @param repeatAllowance repeats allowed in a window besides, over all hosts
-   * @param coldFactor factor on the rate that a cold upstream bears
-   * @param coldSlack requests a second to a cold upstream besides
-   * @param graceMs time from the signal to stop until the process is killed, in milliseconds
-   * @param longestTtlMs longest time that callers may keep addresses, in milliseconds
+   * @param retryRatio repeats for each request to a service, over all hosts
+   * @param retryWindowMs length of the window in which that holds, in milliseconds
+   * @param retryAllowance repeats allowed in a window besides, over all hosts
+   * @param warmupRateFactor factor on the rate that a cold upstream bears
+   * @param warmupRateExtraPerSecond requests a second to a cold upstream besides
+   * @param terminationGraceMs time from the signal to stop until the process is killed, in milliseconds
+   * @param maxTtlMs longest time that callers may keep addresses, in milliseconds
    */
   public record Bounds(
-      double repeatRatio,
-      long repeatWindowMs,
-      double repeatAllowance,
-      double coldFactor,
-      double coldSlack,
-      long graceMs,
-      long longestTtlMs) {}
+      double retryRatio,
+      long retryWindowMs,
+      double retryAllowance,
+      double warmupRateFactor,
+      double warmupRateExtraPerSecond,
+      long terminationGraceMs,
+      long maxTtlMs) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ReplyJudge.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/AttemptClassifier.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.gateway.callers;
 
 import dev.cactusstack.decisions.placing.AttemptOutcome;
-import dev.cactusstack.gateway.net.Reply;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.net.ExchangeResult;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import java.util.Set;
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param wire header fields
  */
-record ReplyJudge(UpstreamWire wire) {
+record AttemptClassifier(UpstreamHeaders wire) {
   private static final int MISDIRECTED = 421;
   private static final int SERVER_ERROR = 500;
   private static final int SUCCESS = 200;
@@ -18,39 +18,39 @@
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
 
   /** How the attempt ended that brought the reply. */
-  AttemptOutcome end(Reply reply) {
-    if (reply instanceof Reply.NotSent) {
+  AttemptOutcome classify(ExchangeResult result) {
+    if (result instanceof ExchangeResult.NotSent) {
       return AttemptOutcome.UNREACHABLE;
     }
-    if (reply instanceof Reply.Broken) {
+    if (result instanceof ExchangeResult.Incomplete) {
       return AttemptOutcome.BROKEN;
     }
-    if (!(reply instanceof Reply.Answer r)) {
+    if (!(result instanceof ExchangeResult.Response r)) {
       return AttemptOutcome.TIMED_OUT;
     }
-    if (wire.notRun(r.status(), r.headers())) {
+    if (wire.reportsNotRun(r.status(), r.headers())) {
       return r.status() == MISDIRECTED ? AttemptOutcome.WRONG_INSTANCE : AttemptOutcome.REFUSED;
     }
     boolean success = r.status() >= SUCCESS && r.status() < REDIRECT;
-    if (success && !wire.signed(r.headers())) {
+    if (success && !wire.isSigned(r.headers())) {
       return AttemptOutcome.BROKEN;
     }
     return r.status() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
   }
 
   /** Tells whether an upstream's own failure can be passed on without promising too much. */
-  boolean passable(Reply.Answer r) {
-    return wire.signed(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
+  boolean isForwardable(ExchangeResult.Response r) {
+    return wire.isSigned(r.headers()) && !NOT_RUN_STATUSES.contains(r.status());
   }
 
   /** Says for a log line why a reply is no good answer. */
-  static String cause(Reply reply) {
-    if (reply instanceof Reply.Answer r) {
+  static String cause(ExchangeResult result) {
+    if (result instanceof ExchangeResult.Response r) {
       return "status " + r.status();
     }
-    if (reply instanceof Reply.NotSent n) {
+    if (result instanceof ExchangeResult.NotSent n) {
       return n.cause();
     }
-    return reply instanceof Reply.Broken b ? b.cause() : "late";
+    return result instanceof ExchangeResult.Incomplete b ? b.cause() : "late";
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerConnection.java
@@ -36,50 +36,50 @@
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
   private static final int MAX_PIPELINED = 32;
-  private static final long LINGER_MS = 1_000;
+  private static final long CLOSE_DELAY_MS = 1_000;
 
-  private final CallersPort port;
+  private final CallerListener listener;
   private final Channel channel;
   private final CallerLimits limits;
-  private final Deque<Turn> turns = new ArrayDeque<>();
+  private final Deque<PipelinedRequest> pipeline = new ArrayDeque<>();
   private @Nullable HttpRequest head;
   private byte[] body = new byte[0];
   private int bodyLength;
   private boolean rejected;
-  private boolean ending;
-  private long lastMs;
-  private long headMs;
+  private boolean closing;
+  private long lastActivityMs;
+  private long headReceivedMs;
 
-  CallerConnection(CallersPort port, Channel channel, CallerLimits limits) {
-    this.port = port;
+  CallerConnection(CallerListener listener, Channel channel, CallerLimits limits) {
+    this.listener = listener;
     this.channel = channel;
     this.limits = limits;
-    this.lastMs = port.now();
+    this.lastActivityMs = listener.now();
   }
 
   int inFlight() {
-    return turns.size() + (head != null ? 1 : 0);
+    return pipeline.size() + (head != null ? 1 : 0);
   }
 
-  void closeIfQuiet() {
+  void closeIfUnused() {
     if (inFlight() == 0) {
       channel.close();
     }
   }
 
-  void closeIfIdle(CallerLimits l, long nowMs) {
-    boolean idle = inFlight() == 0 && nowMs - lastMs > l.idleTimeoutMs();
-    boolean stuck = head != null && turns.isEmpty() && nowMs - lastMs > l.idleTimeoutMs();
-    if (idle || stuck) {
+  void closeIfTimedOut(CallerLimits l, long nowMs) {
+    boolean idle = inFlight() == 0 && nowMs - lastActivityMs > l.idleTimeoutMs();
+    boolean stalled = head != null && pipeline.isEmpty() && nowMs - lastActivityMs > l.idleTimeoutMs();
+    if (idle || stalled) {
       channel.close();
     }
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object msg) {
-    lastMs = port.now();
+    lastActivityMs = listener.now();
     try {
-      if (!ending) {
+      if (!closing) {
         read(msg);
       }
     } finally {
@@ -89,21 +89,21 @@
 
   private void read(Object msg) {
     if (msg instanceof HttpRequest r) {
-      begin(r);
+      startRequest(r);
     }
     if (msg instanceof HttpContent c && head != null) {
-      append(c.content());
+      appendBody(c.content());
       if (c.decoderResult().isFailure()) {
         refuse(Refusal.MALFORMED);
       } else if (c instanceof LastHttpContent) {
-        whole();
+        completeRequest();
       }
     }
   }
 
-  private void begin(HttpRequest r) {
+  private void startRequest(HttpRequest r) {
     head = r;
-    headMs = lastMs;
+    headReceivedMs = lastActivityMs;
     bodyLength = 0;
     rejected = false;
     DecoderResult result = r.decoderResult();
@@ -123,7 +123,7 @@
     }
   }
 
-  private void append(ByteBuf content) {
+  private void appendBody(ByteBuf content) {
     int n = content.readableBytes();
     if (n == 0 || rejected) {
       return;
@@ -140,17 +140,17 @@
   }
 
   /** Answers a request that can't be read on, and ends the connection. */
-  private void refuse(Refusal why) {
+  private void refuse(Refusal refusal) {
     rejected = true;
     head = null;
-    var turn = new Turn(true);
-    turns.add(turn);
-    ending = true;
-    turn.answer = CallerAnswer.problem(why);
+    var entry = new PipelinedRequest(true);
+    pipeline.add(entry);
+    closing = true;
+    entry.response = CallerResponse.problem(refusal);
     flush();
   }
 
-  private void whole() {
+  private void completeRequest() {
     HttpRequest r = head;
     if (r == null) {
       return;
@@ -158,56 +158,56 @@
     head = null;
     var request =
         new CallerRequest(
-            r.method(), r.uri(), r.headers(), Arrays.copyOf(body, bodyLength), headMs);
+            r.method(), r.uri(), r.headers(), Arrays.copyOf(body, bodyLength), headReceivedMs);
     body = new byte[0];
     bodyLength = 0;
-    var turn = new Turn(!HttpUtil.isKeepAlive(r));
-    turns.add(turn);
-    if (turns.size() >= MAX_PIPELINED) {
+    var entry = new PipelinedRequest(!HttpUtil.isKeepAlive(r));
+    pipeline.add(entry);
+    if (pipeline.size() >= MAX_PIPELINED) {
       channel.config().setAutoRead(false);
     }
-    turn.running = dispatch(request, turn);
+    entry.execution = dispatch(request, entry);
   }
 
-  private Filter.Running dispatch(CallerRequest request, Turn turn) {
-    for (Filter f : port.chain()) {
-      Optional<Filter.Running> taken = f.take(request, a -> answered(turn, a));
+  private RequestHandler.Cancellable dispatch(CallerRequest request, PipelinedRequest entry) {
+    for (RequestHandler f : listener.chain()) {
+      Optional<RequestHandler.Cancellable> taken = f.tryHandle(request, a -> setResponse(entry, a));
       if (taken.isPresent()) {
         return taken.get();
       }
     }
-    answered(turn, CallerAnswer.problem(Refusal.NO_ROUTE));
-    return Filter.Running.NOTHING;
+    setResponse(entry, CallerResponse.problem(Refusal.NO_ROUTE));
+    return RequestHandler.Cancellable.COMPLETED;
   }
 
-  private void answered(Turn turn, CallerAnswer answer) {
-    turn.answer = answer;
+  private void setResponse(PipelinedRequest entry, CallerResponse callerResponse) {
+    entry.response = callerResponse;
     flush();
   }
 
   private void flush() {
     boolean wrote = false;
-    while (!turns.isEmpty() && channel.isActive()) {
-      Turn first = turns.peekFirst();
-      CallerAnswer a = first.answer;
+    while (!pipeline.isEmpty() && channel.isActive()) {
+      PipelinedRequest first = pipeline.peekFirst();
+      CallerResponse a = first.response;
       if (a == null) {
         break;
       }
-      turns.removeFirst();
+      pipeline.removeFirst();
       wrote = true;
-      if (write(a, first.last || port.closing())) {
+      if (write(a, first.closesConnection || listener.closing())) {
         return;
       }
     }
     if (wrote) {
       channel.flush();
-      channel.config().setAutoRead(turns.size() < MAX_PIPELINED && channel.isWritable());
+      channel.config().setAutoRead(pipeline.size() < MAX_PIPELINED && channel.isWritable());
     }
   }
 
   /** Writes an answer; returns true when it was the connection's last. */
-  private boolean write(CallerAnswer a, boolean last) {
-    lastMs = port.now();
+  private boolean write(CallerResponse a, boolean last) {
+    lastActivityMs = listener.now();
     var m =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -219,25 +219,25 @@
       channel.write(m);
       return false;
     }
-    ending = true;
+    closing = true;
     m.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     cancelAll();
     // The other direction is read on until the caller closes: closing with unread bytes resets the
     // connection, and the answer could be lost with it.
-    channel.writeAndFlush(m).addListener((ChannelFutureListener) f -> linger());
+    channel.writeAndFlush(m).addListener((ChannelFutureListener) f -> closeAfterDelay());
     return true;
   }
 
-  private void linger() {
+  private void closeAfterDelay() {
     if (channel instanceof DuplexChannel duplex) {
       duplex.shutdownOutput();
     }
-    channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+    channel.eventLoop().schedule(() -> channel.close(), CLOSE_DELAY_MS, TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    channel.config().setAutoRead(turns.size() < MAX_PIPELINED && channel.isWritable());
+    channel.config().setAutoRead(pipeline.size() < MAX_PIPELINED && channel.isWritable());
     ctx.fireChannelWritabilityChanged();
   }
 
@@ -249,25 +249,25 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     cancelAll();
-    port.closed(this);
+    listener.closed(this);
     ctx.fireChannelInactive();
   }
 
   private void cancelAll() {
-    for (Turn t : turns) {
-      t.running.cancel();
+    for (PipelinedRequest t : pipeline) {
+      t.execution.cancel();
     }
-    turns.clear();
+    pipeline.clear();
   }
 
   /** A request in its place among the connection's requests. */
-  private static final class Turn {
-    private final boolean last;
-    private @Nullable CallerAnswer answer;
-    private Filter.Running running = Filter.Running.NOTHING;
+  private static final class PipelinedRequest {
+    private final boolean closesConnection;
+    private @Nullable CallerResponse response;
+    private RequestHandler.Cancellable execution = RequestHandler.Cancellable.COMPLETED;
 
-    Turn(boolean last) {
-      this.last = last;
+    PipelinedRequest(boolean closesConnection) {
+      this.closesConnection = closesConnection;
     }
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallersPort.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerListener.java
@@ -21,13 +21,13 @@
  * A port on which callers connect, with the chain of filters for their requests. Confined to the
  * event loop.
  */
-public final class CallersPort {
+public final class CallerListener {
   private static final int BACKLOG = 1_024;
   private static final int MAX_LINE_BYTES = 16_384;
   private static final int MAX_CHUNK_BYTES = 65_536;
 
   private final EventLoop loop;
-  private final List<Filter> chain;
+  private final List<RequestHandler> chain;
   private final Supplier<CallerLimits> limits;
   private final LongSupplier clock;
   private final Set<CallerConnection> connections = new LinkedHashSet<>();
@@ -42,8 +42,8 @@
    * @param limits what callers may send at the moment
    * @param clock a steady clock, in milliseconds
    */
-  public CallersPort(
-      EventLoop loop, List<Filter> chain, Supplier<CallerLimits> limits, LongSupplier clock) {
+  public CallerListener(
+      EventLoop loop, List<RequestHandler> chain, Supplier<CallerLimits> limits, LongSupplier clock) {
     this.loop = loop;
     this.chain = List.copyOf(chain);
     this.limits = limits;
@@ -86,10 +86,10 @@
   }
 
   /** Closes connections that callers leave idle, or on which they send too slowly. */
-  public void sweep() {
+  public void closeTimedOutConnections() {
     long now = clock.getAsLong();
     CallerLimits l = limits.get();
-    List.copyOf(connections).forEach(c -> c.closeIfIdle(l, now));
+    List.copyOf(connections).forEach(c -> c.closeIfTimedOut(l, now));
   }
 
   /** Stops listening, and tells callers with every answer to leave. */
@@ -101,13 +101,13 @@
   }
 
   /** Tells callers with every answer from now on that their connection ends. */
-  public void lastAnswers() {
+  public void startDraining() {
     closing = true;
   }
 
   /** Closes connections on which nothing is in flight. */
-  public void closeQuiet() {
-    List.copyOf(connections).forEach(CallerConnection::closeIfQuiet);
+  public void closeUnusedConnections() {
+    List.copyOf(connections).forEach(CallerConnection::closeIfUnused);
   }
 
   /**
@@ -119,7 +119,7 @@
     return connections.stream().mapToInt(CallerConnection::inFlight).sum();
   }
 
-  List<Filter> chain() {
+  List<RequestHandler> chain() {
     return chain;
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerRequest.java
@@ -10,7 +10,7 @@
  * @param target its target
  * @param headers its header fields
  * @param body its body, possibly empty
- * @param arrivedMs when its header section arrived, on the host's steady clock, in milliseconds
+ * @param arrivedAtMs when its header section arrived, on the host's steady clock, in milliseconds
  */
 public record CallerRequest(
-    HttpMethod method, String target, HttpHeaders headers, byte[] body, long arrivedMs) {}
+    HttpMethod method, String target, HttpHeaders headers, byte[] body, long arrivedAtMs) {}
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerAnswer.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/CallerResponse.java
@@ -12,7 +12,7 @@
  * @param headers its header fields, without those of one connection or of the body's length
  * @param body its body
  */
-public record CallerAnswer(int status, HttpHeaders headers, byte[] body) {
+public record CallerResponse(int status, HttpHeaders headers, byte[] body) {
   private static final double MS_PER_SECOND = 1_000;
 
   /**
@@ -22,10 +22,10 @@
    * @param json the body
    * @return the answer
    */
-  public static CallerAnswer json(int status, String json) {
+  public static CallerResponse json(int status, String json) {
     HttpHeaders h = new DefaultHttpHeaders();
     h.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-    return new CallerAnswer(status, h, json.getBytes(StandardCharsets.UTF_8));
+    return new CallerResponse(status, h, json.getBytes(StandardCharsets.UTF_8));
   }
 
   /**
@@ -34,10 +34,10 @@
    * @param p the reason
    * @return the answer
    */
-  public static CallerAnswer problem(Refusal p) {
+  public static CallerResponse problem(Refusal p) {
     HttpHeaders h = new DefaultHttpHeaders();
     h.set(HttpHeaderNames.CONTENT_TYPE, "application/problem+json");
-    return new CallerAnswer(p.status(), h, p.body());
+    return new CallerResponse(p.status(), h, p.body());
   }
 
   /**
@@ -46,7 +46,7 @@
    * @param ms milliseconds from now
    * @return this answer
    */
-  public CallerAnswer retryAfter(long ms) {
+  public CallerResponse retryAfter(long ms) {
     headers.set(HttpHeaderNames.RETRY_AFTER, Double.toString(ms / MS_PER_SECOND));
     return this;
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedFields.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/EndToEndHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /** Which header fields are passed on: all but those of one connection. Stateless. */
-final class ForwardedFields {
-  private static final Set<String> ONE_CONNECTION =
+final class EndToEndHeaders {
+  private static final Set<String> HOP_BY_HOP =
       Set.of(
           "connection",
           "keep-alive",
@@ -23,27 +23,27 @@
           "content-length",
           "expect");
 
-  private ForwardedFields() {}
+  private EndToEndHeaders() {}
 
-  static HttpHeaders of(HttpHeaders from) {
+  static HttpHeaders extract(HttpHeaders from) {
     HttpHeaders to = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-    Set<String> named = named(from);
+    Set<String> connectionOptionNames = connectionOptions(from);
     for (Map.Entry<String, String> f : from) {
       String name = f.getKey().toLowerCase(Locale.ROOT);
-      if (!ONE_CONNECTION.contains(name) && !named.contains(name)) {
+      if (!HOP_BY_HOP.contains(name) && !connectionOptionNames.contains(name)) {
         to.add(f.getKey(), f.getValue());
       }
     }
     return to;
   }
 
-  private static Set<String> named(HttpHeaders from) {
-    Set<String> out = new HashSet<>();
+  private static Set<String> connectionOptions(HttpHeaders from) {
+    Set<String> options = new HashSet<>();
     for (String field : from.getAll("connection")) {
       for (String name : field.split(",")) {
-        out.add(name.trim().toLowerCase(Locale.ROOT));
+        options.add(name.trim().toLowerCase(Locale.ROOT));
       }
     }
-    return out;
+    return options;
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
@@ -0,0 +1,389 @@
+package dev.cactusstack.gateway.callers;
+
+import dev.cactusstack.decisions.placing.AttemptOutcome;
+import dev.cactusstack.decisions.placing.AttemptReport;
+import dev.cactusstack.decisions.placing.PlacementDecision;
+import dev.cactusstack.decisions.placing.PlacementKey;
+import dev.cactusstack.decisions.placing.PlacementRequest;
+import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.decisions.retries.HedgeDelay;
+import dev.cactusstack.gateway.net.Exchange;
+import dev.cactusstack.gateway.net.OutgoingRequest;
+import dev.cactusstack.gateway.net.ExchangeResult;
+import dev.cactusstack.gateway.observe.EventLine;
+import dev.cactusstack.gateway.observe.RouteMetrics;
+import dev.cactusstack.model.site.RouteRule;
+import dev.cactusstack.model.site.UpstreamRegistration;
+import io.netty.handler.codec.http.HttpHeaders;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * One request of a caller, from its arrival to its answer.
+ *
+ * <p>Invariants: the caller gets one answer. A request that may run only once is sent again only
+ * after proof that it did not run. It is answered as not run only when every attempt is proved not
+ * to have run. Confined to the event loop.
+ */
+final class ForwardedRequest implements RequestHandler.Cancellable {
+  private static final int MAX_EXTRA_SENDS = 2;
+  private static final long MIN_REMAINING_MS = 5;
+  private static final long EXCHANGE_TIMEOUT_MARGIN_MS = 1_000;
+  private static final long RETRY_AFTER_MS = 40;
+  private static final long IMMEDIATE_RESET_MS = 40;
+
+  private final ForwardingContext context;
+  private final CallerRequest request;
+  private final String id;
+  private final RouteRule route;
+  private final Consumer<CallerResponse> answer;
+  private final String service;
+  private final long deadlineAtMs;
+  private final long objectiveAtMs;
+  private final Set<String> triedUpstreams = new HashSet<>();
+  private final List<Attempt> activeAttempts = new ArrayList<>();
+  private @Nullable PlacementKey pendingPlacement;
+  private @Nullable Future<?> deadlineTimer;
+  private @Nullable Future<?> hedgeTimer;
+  private @Nullable ExchangeResult lastFailure;
+  private int sends;
+  private int reachedUpstreamCount;
+  private int possibleExecutions;
+  private boolean mayHaveRun;
+  private boolean done;
+
+  ForwardedRequest(
+      ForwardingContext context,
+      CallerRequest request,
+      String id,
+      RouteRule route,
+      Consumer<CallerResponse> answer) {
+    this.context = context;
+    this.request = request;
+    this.id = id;
+    this.route = route;
+    this.answer = answer;
+    this.service = context.parts().next(route);
+    long callerTimeoutMs = context.wire().deadlineMs(request.headers()).orElse(route.timeoutMs());
+    this.deadlineAtMs = request.arrivedAtMs() + Math.min(callerTimeoutMs, route.timeoutMs());
+    long elapsedBeforeArrivalMs = context.patience().elapsedMs(route.name(), callerTimeoutMs);
+    this.objectiveAtMs = request.arrivedAtMs() + route.latencyObjectiveMs() - elapsedBeforeArrivalMs;
+  }
+
+  void start() {
+    context.repeats(service).recordRequest(now());
+    deadlineTimer = context.loop().schedule(this::deadlineReached, Math.max(1, remainingMs()), TimeUnit.MILLISECONDS);
+    requestPlacement(false);
+  }
+
+  @Override
+  public void cancel() {
+    if (done) {
+      return;
+    }
+    event("cancelled").with("attempts", sends).write();
+    figures().recordRefusal("cancelled");
+    done = true;
+    stopTimers();
+    cancelPlacement();
+    if (route.kind().idempotent()) {
+      abandonAll(AttemptOutcome.ABANDONED);
+    }
+  }
+
+  private void requestPlacement(boolean isHedge) {
+    PlacementKey key = context.placement().nextKey();
+    pendingPlacement = key;
+    var placementRequest =
+        new PlacementRequest(
+            key,
+            context.dataCentre(),
+            route.name(),
+            route.priority(),
+            route.latencyObjectiveMs(),
+            Math.max(0, objectiveAtMs - now()),
+            Math.max(0, remainingMs()),
+            request.body().length,
+            isHedge,
+            triedUpstreams);
+    context.placement().requestPlacement(service, placementRequest, v -> decided(v, isHedge));
+  }
+
+  private void decided(PlacementDecision decision, boolean isHedge) {
+    pendingPlacement = null;
+    if (decision instanceof PlacementDecision.Placed p) {
+      placed(p);
+    } else if (decision instanceof PlacementDecision.Rejected t && activeAttempts.isEmpty()) {
+      placementRejected(t, isHedge);
+    }
+  }
+
+  /** A second attempt that got no slot, while the first has failed meanwhile, asks like a first. */
+  private void placementRejected(PlacementDecision.Rejected rejection, boolean isHedge) {
+    if (isHedge && remainingMs() > MIN_REMAINING_MS) {
+      requestPlacement(false);
+    } else {
+      giveUp(Refusal.NO_ROOM, rejection.retryAfterMs());
+    }
+  }
+
+  private void placed(PlacementDecision.Placed p) {
+    boolean isRetry = reachedUpstreamCount > 0 || !activeAttempts.isEmpty();
+    if (done || remainingMs() < MIN_REMAINING_MS) {
+      report(p.key(), p.upstream(), AttemptOutcome.UNUSED, 0, Optional.empty());
+      return;
+    }
+    if (isRetry && !tryAcquireRetryBudget()) {
+      report(p.key(), p.upstream(), AttemptOutcome.UNUSED, 0, Optional.empty());
+      event("no_repeat").with("why", "budget").write();
+      if (activeAttempts.isEmpty()) {
+        giveUp(Refusal.NOT_RUN, RETRY_AFTER_MS);
+      }
+      return;
+    }
+    send(p);
+  }
+
+  private boolean tryAcquireRetryBudget() {
+    boolean allowed = context.mayRepeat(service);
+    figures().recordRetryDecision(allowed);
+    return allowed;
+  }
+
+  private void send(PlacementDecision.Placed p) {
+    UpstreamRegistration u = p.upstream();
+    sends++;
+    triedUpstreams.add(u.id());
+    HttpHeaders headers = EndToEndHeaders.extract(request.headers());
+    context.wire().addUpstreamHeaders(headers, remainingMs(), u.id());
+    var attempt = new Attempt(p.key(), u, now());
+    activeAttempts.add(attempt);
+    figures().recordSentAttempt(now() - request.arrivedAtMs());
+    event("sent")
+        .with("upstream", u.id())
+        .with("address", u.address().toString())
+        .with("attempt", sends)
+        .with("ask", p.key().sequenceNumber())
+        .with("waited_ms", now() - request.arrivedAtMs())
+        .with("left_ms", remainingMs())
+        .write();
+    var outgoing =
+        new OutgoingRequest(
+            u.connectionPoolKey(),
+            u.address(),
+            request.method(),
+            request.target(),
+            headers,
+            request.body(),
+            this::matchesRequest,
+            context.rest(service).maxIdleMs(route.kind().idempotent(), now()));
+    attempt.exchange =
+        context.client().send(outgoing, remainingMs() + EXCHANGE_TIMEOUT_MARGIN_MS, reply -> handleAttemptEnd(attempt, reply));
+    if (sends == 1 && route.kind().idempotent() && route.maxAttempts() > 1) {
+      hedgeTimer = context.loop().schedule(this::hedge, hedgeDelayMs(), TimeUnit.MILLISECONDS);
+    }
+  }
+
+  private boolean matchesRequest(HttpHeaders h) {
+    return context.wire().requestId(h).map(id::equals).orElseGet(() -> context.wire().reportsNotRun(0, h));
+  }
+
+  private long hedgeDelayMs() {
+    double typicalMs = context.workTimes().estimateMs(route.name(), route.latencyObjectiveMs());
+    return HedgeDelay.delayMs(typicalMs, objectiveAtMs - now());
+  }
+
+  /** Sends the request to a second upstream while the first has not answered. */
+  private void hedge() {
+    if (!done && pendingPlacement == null && activeAttempts.size() == 1 && possibleExecutions + 1 < route.maxAttempts()) {
+      event("hedge").with("after_ms", now() - activeAttempts.get(0).startedAtMs).write();
+      requestPlacement(true);
+    }
+  }
+
+  private void handleAttemptEnd(Attempt a, ExchangeResult reply) {
+    activeAttempts.remove(a);
+    Optional<ReportedLoad> load =
+        reply instanceof ExchangeResult.Response r ? context.wire().reportedLoad(r.headers()) : Optional.empty();
+    AttemptOutcome end = context.judge().classify(reply);
+    report(a.key, a.upstream, end, now() - a.startedAtMs, load);
+    figures().recordAttemptOutcome(end.label());
+    if (reply instanceof ExchangeResult.Incomplete && now() - a.startedAtMs <= IMMEDIATE_RESET_MS && a.exchange != null) {
+      context.rest(service).recordReset(a.exchange.connectionIdleMs(), now());
+    }
+    if (end != AttemptOutcome.UNREACHABLE) {
+      reachedUpstreamCount++;
+    }
+    if (!end.provesNotRun()) {
+      possibleExecutions++;
+      mayHaveRun = true;
+    }
+    if (done) {
+      return;
+    }
+    if (end == AttemptOutcome.ANSWERED && reply instanceof ExchangeResult.Response r) {
+      recordProcessingTime(now() - a.startedAtMs, load);
+      deliver(r, a.upstream);
+      return;
+    }
+    event("attempt_ended")
+        .with("upstream", a.upstream.id())
+        .with("end", end.name())
+        .with("cause", AttemptClassifier.cause(reply))
+        .with("took_ms", now() - a.startedAtMs)
+        .write();
+    retryOrGiveUp(end, reply);
+  }
+
+  /** Decides what follows an attempt that brought no good answer. */
+  private void retryOrGiveUp(AttemptOutcome end, ExchangeResult reply) {
+    if (!activeAttempts.isEmpty() || pendingPlacement != null) {
+      return;
+    }
+    boolean allowed = end.provesNotRun() || route.kind().idempotent();
+    boolean attemptsLeft =
+        possibleExecutions < route.maxAttempts() && sends < route.maxAttempts() + MAX_EXTRA_SENDS;
+    lastFailure = reply;
+    if (allowed && attemptsLeft && remainingMs() > MIN_REMAINING_MS) {
+      requestPlacement(false);
+      return;
+    }
+    giveUp(end.provesNotRun() ? Refusal.NOT_RUN : Refusal.NO_ANSWER, RETRY_AFTER_MS);
+  }
+
+  private void recordProcessingTime(long tookMs, Optional<ReportedLoad> load) {
+    double reportedSlowdown = load.map(ReportedLoad::slowdown).orElse(1.0);
+    context.workTimes().recordResponse(route.name(), route.latencyObjectiveMs(), tookMs, reportedSlowdown);
+  }
+
+  private void deliver(ExchangeResult.Response r, UpstreamRegistration by) {
+    finish();
+    figures().recordAnsweredRequest(now() - request.arrivedAtMs());
+    event("answered")
+        .with("status", r.status())
+        .with("upstream", by.id())
+        .with("load", context.wire().reportedLoad(r.headers()).map(ReportedLoad::toString).orElse("untold"))
+        .with("attempts", sends)
+        .with("took_ms", now() - request.arrivedAtMs())
+        .write();
+    answer.accept(new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
+  }
+
+  private void deadlineReached() {
+    if (done) {
+      return;
+    }
+    boolean sentAny = activeAttempts.stream().anyMatch(a -> a.exchange != null && a.exchange.mayHaveBeenSent());
+    mayHaveRun |= sentAny;
+    abandonAll(AttemptOutcome.TIMED_OUT);
+    giveUp(Refusal.LATE, RETRY_AFTER_MS);
+  }
+
+  /** Answers a request that no upstream has served. */
+  private void giveUp(Refusal why, long retryAfterMs) {
+    finish();
+    if (lastFailure instanceof ExchangeResult.Response r && mayHaveRun && context.judge().isForwardable(r)) {
+      event("answered").with("status", r.status()).with("attempts", sends).write();
+      figures().recordAnsweredRequest(now() - request.arrivedAtMs());
+      answer.accept(new CallerResponse(r.status(), EndToEndHeaders.extract(r.headers()), r.body()));
+      return;
+    }
+    Refusal refusal = truthfulRefusal(why);
+    figures().recordRefusal(refusal.label());
+    event("refused")
+        .with("why", refusal.label())
+        .with("attempts", sends)
+        .with("took_ms", now() - request.arrivedAtMs())
+        .with("retry_ms", retryAfterMs)
+        .write();
+    CallerResponse a = CallerResponse.problem(refusal);
+    context.wire().setRequestId(a.headers(), id);
+    answer.accept(mayHaveRun ? a : a.retryAfter(retryAfterMs));
+  }
+
+  /** A refusal promises that the request did not run, so it must be true of every attempt. */
+  private Refusal truthfulRefusal(Refusal why) {
+    if (!mayHaveRun) {
+      return why == Refusal.LATE || why == Refusal.NO_ANSWER ? Refusal.NO_ROOM : why;
+    }
+    return why == Refusal.LATE ? Refusal.LATE : Refusal.NO_ANSWER;
+  }
+
+  private void finish() {
+    done = true;
+    stopTimers();
+    cancelPlacement();
+    // Attempts that are still running end by themselves; only their report is wanted.
+  }
+
+  private void abandonAll(AttemptOutcome end) {
+    for (Attempt a : List.copyOf(activeAttempts)) {
+      if (a.exchange != null) {
+        a.exchange.abort();
+      }
+      report(a.key, a.upstream, end, now() - a.startedAtMs, Optional.empty());
+    }
+    activeAttempts.clear();
+  }
+
+  private void cancelPlacement() {
+    if (pendingPlacement != null) {
+      context.placement().cancelPlacement(pendingPlacement);
+      pendingPlacement = null;
+    }
+  }
+
+  private void stopTimers() {
+    if (deadlineTimer != null) {
+      deadlineTimer.cancel(false);
+    }
+    if (hedgeTimer != null) {
+      hedgeTimer.cancel(false);
+    }
+  }
+
+  private void report(
+      PlacementKey key,
+      UpstreamRegistration u,
+      AttemptOutcome end,
+      long tookMs,
+      Optional<ReportedLoad> load) {
+    context.placement().report(service, new AttemptReport(key, u.id(), end, tookMs, load));
+  }
+
+  private RouteMetrics figures() {
+    return context.figures().route(route.name());
+  }
+
+  private long now() {
+    return context.clock().getAsLong();
+  }
+
+  private long remainingMs() {
+    return deadlineAtMs - now();
+  }
+
+  private EventLine event(String name) {
+    return context.log().event(name).with("id", id).with("route", route.name());
+  }
+
+  private static final class Attempt {
+    private final PlacementKey key;
+    private final UpstreamRegistration upstream;
+    private final long startedAtMs;
+    private @Nullable Exchange exchange;
+
+    Attempt(PlacementKey key, UpstreamRegistration upstream, long startedAtMs) {
+      this.key = key;
+      this.upstream = upstream;
+      this.startedAtMs = startedAtMs;
+    }
+  }
+}
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestTools.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingContext.java
@@ -7,9 +7,9 @@
 import dev.cactusstack.decisions.retries.RetryWindow;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.observe.Figures;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.Map;
@@ -34,21 +34,21 @@
  * @param repeatBudget the bounds for repeats
  * @param figures counts what happens
  */
-public record RequestTools(
+public record ForwardingContext(
     String dataCentre,
     EventLoop loop,
     LongSupplier clock,
     EventLog log,
-    UpstreamWire wire,
+    UpstreamHeaders wire,
     HttpClient client,
-    Placement placement,
+    PlacementClient placement,
     WeightedRoundRobin parts,
     Map<String, RetryWindow> repeats,
     Map<String, IdleReuseLimit> rests,
     ProcessingTimes workTimes,
     CallerElapsedTime patience,
-    RepeatBudget repeatBudget,
-    Figures figures) {
+    RetryBudget repeatBudget,
+    GatewayMetrics figures) {
 
   /**
    * Creates tools with no history.
@@ -63,16 +63,16 @@
    * @param repeatBudget the bounds for repeats
    * @param figures counts what happens
    */
-  public RequestTools(
+  public ForwardingContext(
       String dataCentre,
       EventLoop loop,
       LongSupplier clock,
       EventLog log,
-      UpstreamWire wire,
+      UpstreamHeaders wire,
       HttpClient client,
-      Placement placement,
-      RepeatBudget repeatBudget,
-      Figures figures) {
+      PlacementClient placement,
+      RetryBudget repeatBudget,
+      GatewayMetrics figures) {
     this(
         dataCentre,
         loop,
@@ -99,8 +99,8 @@
     return rests.computeIfAbsent(service, s -> new IdleReuseLimit());
   }
 
-  ReplyJudge judge() {
-    return new ReplyJudge(wire);
+  AttemptClassifier judge() {
+    return new AttemptClassifier(wire);
   }
 
   boolean mayRepeat(String service) {
@@ -115,5 +115,5 @@
    * @param ratio repeats allowed for each request
    * @param allowance this host's part of the fixed allowance of a window
    */
-  public record RepeatBudget(long windowMs, double ratio, DoubleSupplier allowance) {}
+  public record RetryBudget(long windowMs, double ratio, DoubleSupplier allowance) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ServeFilter.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardingHandler.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /** Serves requests by the routes in force. Takes every request. Confined to the event loop. */
-public final class ServeFilter implements Filter {
+public final class ForwardingHandler implements RequestHandler {
   private static final long NOT_READY_RETRY_MS = 300;
 
   private final ConfigurationController configuration;
-  private final RequestTools tools;
+  private final ForwardingContext tools;
 
   /**
    * Creates a filter.
@@ -19,45 +19,45 @@
    * @param configuration the routes in force
    * @param tools what requests need to run
    */
-  public ServeFilter(ConfigurationController configuration, RequestTools tools) {
+  public ForwardingHandler(ConfigurationController configuration, ForwardingContext tools) {
     this.configuration = configuration;
     this.tools = tools;
   }
 
   @Override
-  public Optional<Running> take(CallerRequest request, Consumer<CallerAnswer> answer) {
+  public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
     Optional<String> id = tools.wire().requestId(request.headers());
     if (id.isEmpty()) {
       return refuse(request, "", Refusal.NO_ID, answer);
     }
-    if (configuration.inForce().isEmpty()) {
+    if (configuration.activeConfiguration().isEmpty()) {
       return refuse(request, id.get(), Refusal.NOT_READY, answer);
     }
     String host = request.headers().get(HttpHeaderNames.HOST, "");
-    Optional<RouteRule> route = configuration.routes().match(host, request.target());
+    Optional<RouteRule> route = configuration.routeMatcher().match(host, request.target());
     if (route.isEmpty()) {
       return refuse(request, id.get(), Refusal.NO_ROUTE, answer);
     }
-    var run = new RequestRun(tools, request, id.get(), route.get(), answer);
+    var run = new ForwardedRequest(tools, request, id.get(), route.get(), answer);
     run.start();
     return Optional.of(run);
   }
 
-  private Optional<Running> refuse(
-      CallerRequest request, String id, Refusal why, Consumer<CallerAnswer> answer) {
+  private Optional<Cancellable> refuse(
+      CallerRequest request, String id, Refusal why, Consumer<CallerResponse> answer) {
     tools
         .log()
         .event("refused")
         .with("id", id.isEmpty() ? "none" : id)
         .with("why", why.label())
         .with("target", request.target())
-        .with("version", configuration.inForce().map(c -> c.version()).orElse(0L))
+        .with("version", configuration.activeConfiguration().map(c -> c.version()).orElse(0L))
         .write();
-    CallerAnswer a = CallerAnswer.problem(why);
+    CallerResponse a = CallerResponse.problem(why);
     if (!id.isEmpty()) {
-      tools.wire().identify(a.headers(), id);
+      tools.wire().setRequestId(a.headers(), id);
     }
     answer.accept(why == Refusal.NOT_READY ? a.retryAfter(NOT_READY_RETRY_MS) : a);
-    return Optional.of(Running.NOTHING);
+    return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsFilter.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/MetricsHandler.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.gateway.callers;
 
-import dev.cactusstack.gateway.observe.Figures;
-import dev.cactusstack.gateway.observe.FiguresText;
+import dev.cactusstack.gateway.observe.GatewayMetrics;
+import dev.cactusstack.gateway.observe.PrometheusFormat;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -13,18 +13,18 @@
  *
  * @param figures what the host has counted
  */
-public record MetricsFilter(Figures figures) implements Filter {
+public record MetricsHandler(GatewayMetrics figures) implements RequestHandler {
   private static final String PATH = "/metrics";
   private static final int OK = 200;
 
   @Override
-  public Optional<Running> take(CallerRequest request, Consumer<CallerAnswer> answer) {
+  public Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer) {
     if (!request.target().equals(PATH)) {
       return Optional.empty();
     }
     HttpHeaders h = new DefaultHttpHeaders();
-    h.set(HttpHeaderNames.CONTENT_TYPE, FiguresText.CONTENT_TYPE);
-    answer.accept(new CallerAnswer(OK, h, FiguresText.of(figures)));
-    return Optional.of(Running.NOTHING);
+    h.set(HttpHeaderNames.CONTENT_TYPE, PrometheusFormat.CONTENT_TYPE);
+    answer.accept(new CallerResponse(OK, h, PrometheusFormat.format(figures)));
+    return Optional.of(Cancellable.COMPLETED);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/Filter.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/RequestHandler.java
@@ -9,7 +9,7 @@
  * <p>Called on the event loop only.
  */
 @FunctionalInterface
-public interface Filter {
+public interface RequestHandler {
   /**
    * Takes a request, or passes it on.
    *
@@ -17,13 +17,13 @@
    * @param answer receives the answer, once, now or later on the event loop
    * @return what runs for the request, or nothing when the next filter is to see it
    */
-  Optional<Running> take(CallerRequest request, Consumer<CallerAnswer> answer);
+  Optional<Cancellable> tryHandle(CallerRequest request, Consumer<CallerResponse> answer);
 
   /** A request that was taken. */
   @FunctionalInterface
-  interface Running {
+  interface Cancellable {
     /** A request whose answer is given already. */
-    Running NOTHING = () -> {};
+    Cancellable COMPLETED = () -> {};
 
     /** Stops it, because the caller has left; no answer is wanted any more. */
     void cancel();
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/ConfigurationController.java
@@ -3,9 +3,9 @@
 import dev.cactusstack.decisions.matching.RouteMatcher;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.ConfigurationChange;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.SiteConfiguration;
 import io.netty.channel.EventLoop;
@@ -33,26 +33,26 @@
  * <p>Invariant: what is in force never goes back to an older revision. Confined to the event loop.
  */
 public final class ConfigurationController {
-  private static final long WATCH_MS = 20_000;
-  private static final long WATCH_PATIENCE_MS = 300;
-  private static final long RETRY_MS = 250;
+  private static final long WATCH_TIMEOUT_MS = 20_000;
+  private static final long ANNOUNCED_CHANGE_WAIT_MS = 300;
+  private static final long READ_RETRY_MS = 250;
 
   private final EventLoop loop;
   private final LongSupplier clock;
   private final EventLog log;
   private final SiteStore store;
-  private final BooleanSupplier reader;
-  private Runnable changed = () -> {};
-  private Consumer<KnownConfiguration> news = k -> {};
-  private @Nullable SiteConfiguration inForce;
-  private RouteMatcher routes = new RouteMatcher(List.of());
-  private boolean whole;
-  private boolean resting;
-  private boolean rereading;
-  private boolean failing;
-  private long sinceMs;
-  private long changedAt;
-  private long cursor;
+  private final BooleanSupplier isReader;
+  private Runnable changeListener = () -> {};
+  private Consumer<ConfigurationSnapshot> snapshotListener = k -> {};
+  private @Nullable SiteConfiguration activeConfiguration;
+  private RouteMatcher routeMatcher = new RouteMatcher(List.of());
+  private boolean fullyRead;
+  private boolean followingPaused;
+  private boolean rereadPending;
+  private boolean storeFailing;
+  private long failingSinceMs;
+  private long lastChangeRevision;
+  private long watchRevision;
 
   /**
    * Creates a controller that knows no configuration.
@@ -61,27 +61,27 @@
    * @param clock a steady clock, in milliseconds
    * @param log where changes are told
    * @param store where operators write
-   * @param reader whether this host follows the store
+   * @param isReader whether this host follows the store
    */
   public ConfigurationController(
-      EventLoop loop, LongSupplier clock, EventLog log, SiteStore store, BooleanSupplier reader) {
+      EventLoop loop, LongSupplier clock, EventLog log, SiteStore store, BooleanSupplier isReader) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
     this.store = store;
-    this.reader = reader;
+    this.isReader = isReader;
   }
 
   /**
    * Begins to follow the operators' configuration.
    *
    * @param listener runs after each change, on the event loop
-   * @param teller receives each change that other hosts may not have heard of
+   * @param snapshotReceiver receives each change that other hosts may not have heard of
    */
-  public void start(Runnable listener, Consumer<KnownConfiguration> teller) {
-    changed = listener;
-    news = teller;
-    follow();
+  public void start(Runnable listener, Consumer<ConfigurationSnapshot> snapshotReceiver) {
+    changeListener = listener;
+    snapshotListener = snapshotReceiver;
+    followStore();
   }
 
   /**
@@ -89,8 +89,8 @@
    *
    * @return the configuration, or nothing before one is known
    */
-  public Optional<SiteConfiguration> inForce() {
-    return Optional.ofNullable(inForce);
+  public Optional<SiteConfiguration> activeConfiguration() {
+    return Optional.ofNullable(activeConfiguration);
   }
 
   /**
@@ -98,8 +98,8 @@
    *
    * @return the routes, none before a configuration is known
    */
-  public RouteMatcher routes() {
-    return routes;
+  public RouteMatcher routeMatcher() {
+    return routeMatcher;
   }
 
   /**
@@ -108,7 +108,7 @@
    * @return bounds
    */
   public CallerLimits limits() {
-    return inForce == null ? CallerLimits.DEFAULT : inForce.limits();
+    return activeConfiguration == null ? CallerLimits.DEFAULT : activeConfiguration.limits();
   }
 
   /**
@@ -116,8 +116,8 @@
    *
    * @return the store's revision of the change, 0 before one is known
    */
-  public long changedAt() {
-    return changedAt;
+  public long lastChangeRevision() {
+    return lastChangeRevision;
   }
 
   /**
@@ -125,18 +125,18 @@
    *
    * @return true from a failed call until the next that succeeds
    */
-  public boolean failing() {
-    return failing;
+  public boolean storeFailing() {
+    return storeFailing;
   }
 
   /** Follows the store again, if this host has become a reader. */
-  public void roleMayHaveChanged() {
-    if (resting && reader.getAsBoolean()) {
-      resting = false;
+  public void updateReaderRole() {
+    if (followingPaused && isReader.getAsBoolean()) {
+      followingPaused = false;
       // Changes may have been missed since the last look, so everything is read before a watch.
-      whole = false;
+      fullyRead = false;
       log.event("configuration_reader").write();
-      follow();
+      followStore();
     }
   }
 
@@ -145,8 +145,8 @@
    *
    * @return the configuration, or nothing before one is known
    */
-  public Optional<KnownConfiguration> known() {
-    return inForce().map(c -> new KnownConfiguration(c, changedAt));
+  public Optional<ConfigurationSnapshot> snapshot() {
+    return activeConfiguration().map(c -> new ConfigurationSnapshot(c, lastChangeRevision));
   }
 
   /**
@@ -154,17 +154,17 @@
    *
    * @param k the configuration
    */
-  public void told(KnownConfiguration k) {
+  public void onSnapshot(ConfigurationSnapshot k) {
     SiteConfiguration c = k.configuration();
-    if (inForce != null && c.version() < inForce.version()) {
+    if (activeConfiguration != null && c.version() < activeConfiguration.version()) {
       return;
     }
     Map<String, Boolean> evacuations = new HashMap<>();
     c.evacuated().forEach(dataCentre -> evacuations.put(dataCentre, true));
-    var rules = new ConfigurationChange.Rules(c.version(), c.routes(), c.services(), c.limits());
+    var rules = new ConfigurationChange.RoutingRules(c.version(), c.routes(), c.services(), c.limits());
     apply(
         new ConfigurationChange(
-            c.revision(), k.changedAt(), true, Optional.of(rules), evacuations));
+            c.revision(), k.lastChangeRevision(), true, Optional.of(rules), evacuations));
   }
 
   /**
@@ -174,21 +174,21 @@
    * @param revision the store's revision of the change
    * @param ask asks that host for its configuration, given the revision that this one knows
    */
-  public void heardOf(long revision, LongConsumer ask) {
-    if (!rereading && behind(revision)) {
-      rereading = true;
-      ask.accept(inForce == null ? 0 : inForce.revision());
-      loop.schedule(() -> readIfBehind(revision), WATCH_PATIENCE_MS, TimeUnit.MILLISECONDS);
+  public void onRevisionAnnounced(long revision, LongConsumer ask) {
+    if (!rereadPending && isBehind(revision)) {
+      rereadPending = true;
+      ask.accept(activeConfiguration == null ? 0 : activeConfiguration.revision());
+      loop.schedule(() -> readIfBehind(revision), ANNOUNCED_CHANGE_WAIT_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private boolean behind(long revision) {
-    return inForce == null || inForce.revision() < revision;
+  private boolean isBehind(long revision) {
+    return activeConfiguration == null || activeConfiguration.revision() < revision;
   }
 
   private void readIfBehind(long revision) {
-    if (!behind(revision)) {
-      rereading = false;
+    if (!isBehind(revision)) {
+      rereadPending = false;
       return;
     }
     log.event("configuration_watch_silent").with("revision", revision).write();
@@ -196,128 +196,128 @@
         .readConfiguration()
         .whenComplete(
             (change, failure) -> {
-              rereading = false;
+              rereadPending = false;
               if (failure == null) {
                 apply(change);
               }
             });
   }
 
-  private void follow() {
-    if (whole && !reader.getAsBoolean()) {
-      resting = true;
+  private void followStore() {
+    if (fullyRead && !isReader.getAsBoolean()) {
+      followingPaused = true;
       return;
     }
     CompletableFuture<ConfigurationChange> call =
-        whole ? store.watchConfiguration(cursor, WATCH_MS) : store.readConfiguration();
+        fullyRead ? store.watchConfiguration(watchRevision, WATCH_TIMEOUT_MS) : store.readConfiguration();
     call.whenComplete(
         (change, failure) -> {
           if (failure == null) {
-            recovered();
-            take(change);
+            onStoreRecovered();
+            onStoreChange(change);
           } else {
-            failed(failure);
+            onStoreFailure(failure);
           }
         });
   }
 
-  private void take(ConfigurationChange change) {
-    cursor = change.revision();
+  private void onStoreChange(ConfigurationChange change) {
+    watchRevision = change.revision();
     // The first configuration is read whole, so that nothing that was there before it is missed.
-    whole = change.complete() || inForce != null;
-    if (whole) {
+    fullyRead = change.fullSnapshot() || activeConfiguration != null;
+    if (fullyRead) {
       apply(change);
     }
-    follow();
+    followStore();
   }
 
-  private void again() {
-    loop.schedule(this::follow, RETRY_MS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry() {
+    loop.schedule(this::followStore, READ_RETRY_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void recovered() {
-    if (failing) {
-      failing = false;
-      log.event("store_regained").with("after_ms", clock.getAsLong() - sinceMs).write();
+  private void onStoreRecovered() {
+    if (storeFailing) {
+      storeFailing = false;
+      log.event("store_regained").with("after_ms", clock.getAsLong() - failingSinceMs).write();
     }
   }
 
-  private void failed(Throwable failure) {
+  private void onStoreFailure(Throwable failure) {
     // A watch that ended may have missed changes and, set up again, may not tell them: read all.
-    boolean watching = whole;
-    whole = false;
-    if (failure instanceof StoreFailure f && f.kind() == StoreFailure.Kind.HISTORY_GONE) {
+    boolean watching = fullyRead;
+    fullyRead = false;
+    if (failure instanceof StoreException f && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       log.event("configuration_history_gone").write();
-      follow();
+      followStore();
       return;
     }
-    if (!failing) {
-      failing = true;
-      sinceMs = clock.getAsLong();
+    if (!storeFailing) {
+      storeFailing = true;
+      failingSinceMs = clock.getAsLong();
       log.event("store_lost").with("cause", String.valueOf(failure.getMessage())).write();
     }
     if (watching) {
-      follow();
+      followStore();
     } else {
-      again();
+      scheduleRetry();
     }
   }
 
   private void apply(ConfigurationChange change) {
-    SiteConfiguration old = inForce;
-    if (old != null && change.revision() <= old.revision()) {
+    SiteConfiguration previous = activeConfiguration;
+    if (previous != null && change.revision() <= previous.revision()) {
       return;
     }
-    changedAt = Math.max(changedAt, change.changedAt());
+    lastChangeRevision = Math.max(lastChangeRevision, change.lastChangeRevision());
     Set<String> evacuated = new HashSet<>();
-    if (old != null && !change.complete()) {
-      evacuated.addAll(old.evacuated());
+    if (previous != null && !change.fullSnapshot()) {
+      evacuated.addAll(previous.evacuated());
     }
     change
         .evacuations()
         .forEach(
-            (dc, out) -> {
-              if (out) {
-                evacuated.add(dc);
+            (evacuationKey, isEvacuated) -> {
+              if (isEvacuated) {
+                evacuated.add(evacuationKey);
               } else {
-                evacuated.remove(dc);
+                evacuated.remove(evacuationKey);
               }
             });
-    SiteConfiguration next = merge(old, change, evacuated);
+    SiteConfiguration next = merge(previous, change, evacuated);
     if (next == null) {
       return;
     }
-    inForce = next;
-    cursor = Math.max(cursor, next.revision());
-    boolean newRules = old == null || old.version() != next.version();
-    if (newRules) {
-      routes = new RouteMatcher(next.routes());
+    activeConfiguration = next;
+    watchRevision = Math.max(watchRevision, next.revision());
+    boolean rulesChanged = previous == null || previous.version() != next.version();
+    if (rulesChanged) {
+      routeMatcher = new RouteMatcher(next.routes());
     }
-    if (old == null || newRules || !old.evacuated().equals(evacuated)) {
+    if (previous == null || rulesChanged || !previous.evacuated().equals(evacuated)) {
       log.event("configuration")
           .with("version", next.version())
           .with("revision", next.revision())
           .with("evacuated", evacuated.toString())
           .write();
-      changed.run();
+      changeListener.run();
     }
-    if (old != null || !change.complete()) {
-      news.accept(new KnownConfiguration(next, changedAt));
+    if (previous != null || !change.fullSnapshot()) {
+      snapshotListener.accept(new ConfigurationSnapshot(next, lastChangeRevision));
     }
   }
 
   private static @Nullable SiteConfiguration merge(
-      @Nullable SiteConfiguration old, ConfigurationChange change, Set<String> evacuated) {
+      @Nullable SiteConfiguration previous, ConfigurationChange change, Set<String> evacuated) {
     if (change.rules().isPresent()
-        && (old == null || change.rules().get().version() > old.version())) {
-      ConfigurationChange.Rules r = change.rules().get();
+        && (previous == null || change.rules().get().version() > previous.version())) {
+      ConfigurationChange.RoutingRules routingRules = change.rules().get();
       return new SiteConfiguration(
-          change.revision(), r.version(), r.routes(), r.services(), r.limits(), evacuated);
+          change.revision(), routingRules.version(), routingRules.routes(), routingRules.services(), routingRules.limits(), evacuated);
     }
-    if (old == null) {
+    if (previous == null) {
       return null;
     }
     return new SiteConfiguration(
-        change.revision(), old.version(), old.routes(), old.services(), old.limits(), evacuated);
+        change.revision(), previous.version(), previous.routes(), previous.services(), previous.limits(), evacuated);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/HostsController.java
@@ -6,7 +6,7 @@
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.gateway.site.SiteStore;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.HostRegistration;
@@ -23,16 +23,16 @@
  * gossips about who is alive. Confined to the event loop.
  */
 public final class HostsController {
-  private static final long ROUND_MS = 400;
-  private static final int TOLD_EACH_ROUND = 3;
-  private static final int TOLD_WHEN_LEAVING = 16;
-  private static final int MOST_PULSES = 80;
-  private static final int MOST_NEWS = 8;
-  private static final long NEWS_MS = 6_000;
-  private static final long RETRY_MS = 400;
-  private static final long SETTLE_MS = 1_500;
-  private static final int TOLD_OF_CHANGE = 3;
-  private static final ConfigurationReaders READERS = new ConfigurationReaders(6);
+  private static final long GOSSIP_INTERVAL_MS = 400;
+  private static final int GOSSIP_FANOUT = 3;
+  private static final int LEAVING_FANOUT = 16;
+  private static final int MAX_HEARTBEATS = 80;
+  private static final int MAX_STARTED_HOSTS = 8;
+  private static final long RECENT_START_MS = 6_000;
+  private static final long REGISTER_RETRY_MS = 400;
+  private static final long STARTUP_SETTLE_MS = 1_500;
+  private static final int CONFIGURATION_FANOUT = 3;
+  private static final ConfigurationReaders CONFIGURATION_READERS = new ConfigurationReaders(6);
 
   private final EventLoop loop;
   private final LongSupplier clock;
@@ -43,9 +43,9 @@
   private final ConfigurationController configuration;
   private final HostRegistration self;
   private final Random random;
-  private final BooleanSupplier informed;
-  private final BooleanSupplier knowing;
-  private long startedMs;
+  private final BooleanSupplier reachesStore;
+  private final BooleanSupplier knowsUpstreams;
+  private long startedAtMs;
   private boolean registered;
 
   /**
@@ -60,8 +60,8 @@
    * @param configuration whose revision is told along
    * @param self this host's entry
    * @param random chooses what is told
-   * @param informed whether this host reaches the store
-   * @param knowing whether this host has read the upstreams
+   * @param reachesStore whether this host reaches the store
+   * @param knowsUpstreams whether this host has read the upstreams
    */
   public HostsController(
       EventLoop loop,
@@ -73,8 +73,8 @@
       ConfigurationController configuration,
       HostRegistration self,
       Random random,
-      BooleanSupplier informed,
-      BooleanSupplier knowing) {
+      BooleanSupplier reachesStore,
+      BooleanSupplier knowsUpstreams) {
     this.loop = loop;
     this.clock = clock;
     this.log = log;
@@ -84,16 +84,16 @@
     this.configuration = configuration;
     this.self = self;
     this.random = random;
-    this.informed = informed;
-    this.knowing = knowing;
+    this.reachesStore = reachesStore;
+    this.knowsUpstreams = knowsUpstreams;
   }
 
   /** Registers this host, and begins to gossip once that is done. */
   public void start() {
-    startedMs = clock.getAsLong();
-    peers.recordStart(self, startedMs);
+    startedAtMs = clock.getAsLong();
+    peers.recordStart(self, startedAtMs);
     register();
-    loop.schedule(configuration::roleMayHaveChanged, SETTLE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(configuration::updateReaderRole, STARTUP_SETTLE_MS, TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -102,12 +102,12 @@
    *
    * @return true for a reader, and for a host that other hosts can't tell of changes
    */
-  public boolean reads() {
+  public boolean isConfigurationReader() {
     long now = clock.getAsLong();
-    if (now - startedMs < SETTLE_MS) {
+    if (now - startedAtMs < STARTUP_SETTLE_MS) {
       return false;
     }
-    return !registered || READERS.isReader(self, peers.reachingStore(now));
+    return !registered || CONFIGURATION_READERS.isReader(self, peers.reachingStore(now));
   }
 
   /**
@@ -115,10 +115,10 @@
    *
    * @param known the configuration with the change
    */
-  public void tellOfChange(KnownConfiguration known) {
-    var message = new LinkMessage.Rules(known);
+  public void announceConfiguration(ConfigurationSnapshot known) {
+    var message = new LinkMessage.ConfigurationUpdate(known);
     peers
-        .localTargets(TOLD_OF_CHANGE, clock.getAsLong())
+        .localTargets(CONFIGURATION_FANOUT, clock.getAsLong())
         .forEach(e -> link.send(message, e.linkAddress()));
   }
 
@@ -128,42 +128,42 @@
    * @param wanted the message
    * @param from its sender
    */
-  public void wanted(LinkMessage.RulesWanted wanted, Address from) {
+  public void onConfigurationQuery(LinkMessage.ConfigurationQuery wanted, Address from) {
     configuration
-        .known()
-        .filter(k -> k.configuration().revision() > wanted.after())
-        .ifPresent(k -> link.send(new LinkMessage.Rules(k), from));
+        .snapshot()
+        .filter(k -> k.configuration().revision() > wanted.knownRevision())
+        .ifPresent(k -> link.send(new LinkMessage.ConfigurationUpdate(k), from));
   }
 
   private void register() {
     store
         .register(self)
         .thenCompose(
-            entry -> {
-              peers.recordStart(entry, clock.getAsLong());
+            registration -> {
+              peers.recordStart(registration, clock.getAsLong());
               return store.readHosts();
             })
         .whenComplete(
-            (all, failure) -> {
+            (registrations, failure) -> {
               if (failure != null) {
                 log.event("register_failed")
                     .with("cause", String.valueOf(failure.getMessage()))
                     .write();
-                loop.schedule(this::register, RETRY_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::register, REGISTER_RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
               }
-              all.forEach(e -> peers.recordStart(e, clock.getAsLong()));
-              log.event("registered").with("hosts", all.size()).write();
+              registrations.forEach(host -> peers.recordStart(host, clock.getAsLong()));
+              log.event("registered").with("hosts", registrations.size()).write();
               registered = true;
-              round();
-              loop.scheduleAtFixedRate(this::round, ROUND_MS, ROUND_MS, TimeUnit.MILLISECONDS);
+              gossipRound();
+              loop.scheduleAtFixedRate(this::gossipRound, GOSSIP_INTERVAL_MS, GOSSIP_INTERVAL_MS, TimeUnit.MILLISECONDS);
             });
   }
 
   /** Tells other hosts that this one gets no new callers. */
-  public void leave() {
+  public void announceLeaving() {
     peers.markLeaving();
-    tell(TOLD_WHEN_LEAVING);
+    sendGossip(LEAVING_FANOUT);
   }
 
   /**
@@ -172,9 +172,9 @@
    * @param beat the message
    * @param from its sender
    */
-  public void heard(LinkMessage.Beat beat, Address from) {
+  public void onGossip(LinkMessage.Gossip beat, Address from) {
     long now = clock.getAsLong();
-    for (HostRegistration e : beat.news()) {
+    for (HostRegistration e : beat.recentlyStarted()) {
       if (peers.recordStart(e, now)) {
         log.event("host")
             .with("name", e.name())
@@ -183,27 +183,27 @@
             .write();
       }
     }
-    peers.mergeHeartbeats(beat.pulses(), now);
-    configuration.heardOf(
-        beat.configurationRevision(), after -> link.send(new LinkMessage.RulesWanted(after), from));
+    peers.mergeHeartbeats(beat.heartbeats(), now);
+    configuration.onRevisionAnnounced(
+        beat.configurationRevision(), after -> link.send(new LinkMessage.ConfigurationQuery(after), from));
   }
 
-  private void round() {
-    configuration.roleMayHaveChanged();
-    tell(TOLD_EACH_ROUND);
+  private void gossipRound() {
+    configuration.updateReaderRole();
+    sendGossip(GOSSIP_FANOUT);
   }
 
-  private void tell(int count) {
+  private void sendGossip(int count) {
     long now = clock.getAsLong();
     List<HeartbeatState> pulses =
-        peers.startRound(informed.getAsBoolean(), knowing.getAsBoolean(), now);
-    if (pulses.size() > MOST_PULSES) {
+        peers.startRound(reachesStore.getAsBoolean(), knowsUpstreams.getAsBoolean(), now);
+    if (pulses.size() > MAX_HEARTBEATS) {
       Collections.shuffle(pulses.subList(1, pulses.size()), random);
-      pulses = pulses.subList(0, MOST_PULSES);
+      pulses = pulses.subList(0, MAX_HEARTBEATS);
     }
     var beat =
-        new LinkMessage.Beat(
-            configuration.changedAt(), peers.recentlyStarted(NEWS_MS, MOST_NEWS, now), pulses);
+        new LinkMessage.Gossip(
+            configuration.lastChangeRevision(), peers.recentlyStarted(RECENT_START_MS, MAX_STARTED_HOSTS, now), pulses);
     peers.gossipTargets(count, now).forEach(e -> link.send(beat, e.linkAddress()));
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/control/UpstreamsController.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.site.ServiceSettings;
 import dev.cactusstack.model.site.SiteConfiguration;
@@ -26,29 +26,29 @@
  * upstreams whose entries lapsed meanwhile announce themselves again. Confined to the event loop.
  */
 public final class UpstreamsController {
-  private static final long POLL_MS = 700;
-  private static final long FRESH_MS = 1_000;
-  private static final long STALE_MS = 1_300;
-  private static final long USED_MS = 4_000;
-  private static final long READ_PATIENCE_MS = 150;
-  private static final long LAPSE_MS = 2_200;
+  private static final long POLL_INTERVAL_MS = 700;
+  private static final long FRESHNESS_MS = 1_000;
+  private static final long STALE_AFTER_MS = 1_300;
+  private static final long POLL_AFTER_USE_MS = 4_000;
+  private static final long MAX_READ_WAIT_MS = 150;
+  private static final long LAPSED_RETENTION_MS = 2_200;
   private static final long NEVER = Long.MIN_VALUE / 2;
-  private static final long OUTAGE_MEMORY_MS = 3_000;
+  private static final long RECENT_OUTAGE_MS = 3_000;
 
   private final EventLoop loop;
   private final LongSupplier clock;
   private final EventLog log;
   private final SiteStore store;
   private final Supplier<Optional<SiteConfiguration>> configuration;
-  private final Map<String, Known> known = new HashMap<>();
-  private final List<Runnable> waiting = new ArrayList<>();
-  private Runnable changed = () -> {};
+  private final Map<String, KnownUpstream> upstreams = new HashMap<>();
+  private final List<Runnable> waitingTasks = new ArrayList<>();
+  private Runnable changeListener = () -> {};
   private long revision = -1;
-  private long readAtMs = NEVER;
-  private long usedAtMs = Long.MIN_VALUE / 2;
-  private long failedAtMs = Long.MIN_VALUE / 2;
-  private boolean reading;
-  private boolean polling;
+  private long lastReadAtMs = NEVER;
+  private long lastUsedAtMs = Long.MIN_VALUE / 2;
+  private long lastFailureAtMs = Long.MIN_VALUE / 2;
+  private boolean readInProgress;
+  private boolean pollScheduled;
 
   /**
    * Creates a controller that knows no upstreams.
@@ -78,12 +78,12 @@
    * @param listener runs on the event loop
    */
   public void onChange(Runnable listener) {
-    changed = listener;
+    changeListener = listener;
   }
 
   /** Tells that the configuration in force has changed. */
-  public void configurationChanged() {
-    changed.run();
+  public void onConfigurationChanged() {
+    changeListener.run();
   }
 
   /**
@@ -91,17 +91,17 @@
    *
    * @param task what to run
    */
-  public void whenFresh(Runnable task) {
+  public void runWhenFresh(Runnable task) {
     long now = clock.getAsLong();
-    usedAtMs = now;
-    if (now - readAtMs < FRESH_MS || now - failedAtMs < FRESH_MS) {
-      pollLater();
+    lastUsedAtMs = now;
+    if (now - lastReadAtMs < FRESHNESS_MS || now - lastFailureAtMs < FRESHNESS_MS) {
+      schedulePoll();
       task.run();
       return;
     }
-    waiting.add(task);
-    if (waiting.size() == 1) {
-      loop.schedule(this::runWaiting, READ_PATIENCE_MS, TimeUnit.MILLISECONDS);
+    waitingTasks.add(task);
+    if (waitingTasks.size() == 1) {
+      loop.schedule(this::runWaitingTasks, MAX_READ_WAIT_MS, TimeUnit.MILLISECONDS);
     }
     read();
   }
@@ -111,8 +111,8 @@
    *
    * @return true when the entries could not be read lately
    */
-  public boolean stale() {
-    return clock.getAsLong() - readAtMs > STALE_MS;
+  public boolean isStale() {
+    return clock.getAsLong() - lastReadAtMs > STALE_AFTER_MS;
   }
 
   /**
@@ -120,8 +120,8 @@
    *
    * @return true until the entries are read for the first time
    */
-  public boolean unread() {
-    return readAtMs == NEVER;
+  public boolean isNeverRead() {
+    return lastReadAtMs == NEVER;
   }
 
   /**
@@ -129,8 +129,8 @@
    *
    * @return true until a read succeeds
    */
-  public boolean failing() {
-    return failedAtMs > readAtMs;
+  public boolean isStoreFailing() {
+    return lastFailureAtMs > lastReadAtMs;
   }
 
   /**
@@ -139,13 +139,13 @@
    * @param service the service's name
    * @return their entries, with how long each is cold from now
    */
-  public List<UpstreamRegistration> usable(String service) {
+  public List<UpstreamRegistration> usableUpstreams(String service) {
     long now = clock.getAsLong();
     List<UpstreamRegistration> out = new ArrayList<>();
-    for (Known k : known.values()) {
-      UpstreamRegistration e = k.entry;
-      if (e.service().equals(service) && !e.leaving() && !evacuated(e.dataCentre())) {
-        out.add(coldFrom(e, Math.max(0, k.coldUntilMs - now)));
+    for (KnownUpstream k : upstreams.values()) {
+      UpstreamRegistration e = k.registration;
+      if (e.service().equals(service) && !e.leaving() && !isEvacuated(e.dataCentre())) {
+        out.add(withWarmupRemaining(e, Math.max(0, k.warmupEndsAtMs - now)));
       }
     }
     return out;
@@ -157,18 +157,18 @@
    * @param service the service's name
    * @return the rule; one for a service without cold upstreams if operators say nothing
    */
-  public ServiceSettings rule(String service) {
+  public ServiceSettings serviceSettings(String service) {
     return configuration
         .get()
         .map(c -> c.services().get(service))
         .orElseGet(() -> new ServiceSettings(service, "", 1, 0, 0));
   }
 
-  private boolean evacuated(String dataCentre) {
+  private boolean isEvacuated(String dataCentre) {
     return configuration.get().map(c -> c.evacuated().contains(dataCentre)).orElse(false);
   }
 
-  private static UpstreamRegistration coldFrom(UpstreamRegistration e, long coldForMs) {
+  private static UpstreamRegistration withWarmupRemaining(UpstreamRegistration e, long coldForMs) {
     return new UpstreamRegistration(
         e.id(),
         e.service(),
@@ -180,61 +180,61 @@
         e.startedAtMs());
   }
 
-  private void pollLater() {
-    if (!polling) {
-      polling = true;
-      loop.schedule(this::poll, POLL_MS, TimeUnit.MILLISECONDS);
+  private void schedulePoll() {
+    if (!pollScheduled) {
+      pollScheduled = true;
+      loop.schedule(this::poll, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 
   private void poll() {
-    polling = false;
-    if (clock.getAsLong() - usedAtMs < USED_MS) {
+    pollScheduled = false;
+    if (clock.getAsLong() - lastUsedAtMs < POLL_AFTER_USE_MS) {
       read();
-      pollLater();
+      schedulePoll();
     }
   }
 
   private void read() {
-    if (reading) {
+    if (readInProgress) {
       return;
     }
-    reading = true;
+    readInProgress = true;
     CompletableFuture<UpstreamChange> call =
-        revision < 0 ? store.readUpstreams() : store.changedUpstreams(revision);
+        revision < 0 ? store.readUpstreams() : store.readUpstreamChanges(revision);
     call.whenComplete(
         (change, failure) -> {
-          reading = false;
+          readInProgress = false;
           if (failure == null) {
             apply(change);
           } else {
-            failed(failure);
+            onReadFailed(failure);
           }
-          runWaiting();
+          runWaitingTasks();
         });
   }
 
-  private void failed(Throwable failure) {
-    if (failure instanceof StoreFailure f && f.kind() == StoreFailure.Kind.HISTORY_GONE) {
+  private void onReadFailed(Throwable failure) {
+    if (failure instanceof StoreException f && f.kind() == StoreException.Kind.HISTORY_UNAVAILABLE) {
       revision = -1;
       read();
       return;
     }
     long now = clock.getAsLong();
-    if (now - failedAtMs > OUTAGE_MEMORY_MS) {
+    if (now - lastFailureAtMs > RECENT_OUTAGE_MS) {
       log.event("upstreams_unread")
           .with("cause", String.valueOf(failure.getMessage()))
-          .with("age_ms", now - readAtMs)
+          .with("age_ms", now - lastReadAtMs)
           .write();
     }
-    failedAtMs = now;
+    lastFailureAtMs = now;
   }
 
-  private void runWaiting() {
-    List<Runnable> tasks = List.copyOf(waiting);
-    waiting.clear();
+  private void runWaitingTasks() {
+    List<Runnable> tasks = List.copyOf(waitingTasks);
+    waitingTasks.clear();
     if (!tasks.isEmpty()) {
-      pollLater();
+      schedulePoll();
     }
     tasks.forEach(Runnable::run);
   }
@@ -242,31 +242,31 @@
   private void apply(UpstreamChange change) {
     long now = clock.getAsLong();
     revision = change.revision();
-    readAtMs = now;
+    lastReadAtMs = now;
     change
-        .entries()
-        .forEach((id, e) -> e.ifPresentOrElse(x -> announced(x, now), () -> missing(id, now)));
-    if (change.complete()) {
-      for (String id : List.copyOf(known.keySet())) {
-        if (!change.entries().containsKey(id)) {
-          missing(id, now);
+        .registrations()
+        .forEach((id, announced) -> announced.ifPresentOrElse(present -> onAnnounced(present, now), () -> onMissing(id, now)));
+    if (change.fullSnapshot()) {
+      for (String id : List.copyOf(upstreams.keySet())) {
+        if (!change.registrations().containsKey(id)) {
+          onMissing(id, now);
         }
       }
     }
-    known.values().removeIf(k -> k.gone(now));
-    changed.run();
+    upstreams.values().removeIf(knownUpstream -> knownUpstream.isExpired(now));
+    changeListener.run();
   }
 
-  private void announced(UpstreamRegistration e, long now) {
-    Known old = known.get(e.id());
-    if (old != null && e.startedAtMs() < old.entry.startedAtMs()) {
+  private void onAnnounced(UpstreamRegistration e, long now) {
+    KnownUpstream old = upstreams.get(e.id());
+    if (old != null && e.startedAtMs() < old.registration.startedAtMs()) {
       return;
     }
     boolean material =
         old == null
-            || !e.isSameIncarnation(old.entry)
-            || e.leaving() != old.entry.leaving()
-            || !e.address().equals(old.entry.address());
+            || !e.isSameIncarnation(old.registration)
+            || e.leaving() != old.registration.leaving()
+            || !e.address().equals(old.registration.address());
     if (material) {
       log.event("upstream")
           .with("id", e.id())
@@ -278,36 +278,36 @@
           .with("revision", revision)
           .write();
     }
-    known.put(e.id(), new Known(e, now + e.warmupRemainingMs()));
+    upstreams.put(e.id(), new KnownUpstream(e, now + e.warmupRemainingMs()));
   }
 
-  private void missing(String id, long now) {
-    Known k = known.get(id);
-    if (k == null || k.goneAtMs != Long.MAX_VALUE) {
+  private void onMissing(String id, long now) {
+    KnownUpstream k = upstreams.get(id);
+    if (k == null || k.removeAtMs != Long.MAX_VALUE) {
       return;
     }
-    boolean lapsed = now - failedAtMs < OUTAGE_MEMORY_MS;
-    k.goneAtMs = lapsed ? now + LAPSE_MS : now;
+    boolean lapsed = now - lastFailureAtMs < RECENT_OUTAGE_MS;
+    k.removeAtMs = lapsed ? now + LAPSED_RETENTION_MS : now;
     log.event("upstream")
         .with("id", id)
-        .with("service", k.entry.service())
+        .with("service", k.registration.service())
         .with("state", lapsed ? "lapsed" : "gone")
         .with("revision", revision)
         .write();
   }
 
-  private static final class Known {
-    private final UpstreamRegistration entry;
-    private final long coldUntilMs;
-    private long goneAtMs = Long.MAX_VALUE;
+  private static final class KnownUpstream {
+    private final UpstreamRegistration registration;
+    private final long warmupEndsAtMs;
+    private long removeAtMs = Long.MAX_VALUE;
 
-    Known(UpstreamRegistration entry, long coldUntilMs) {
-      this.entry = entry;
-      this.coldUntilMs = coldUntilMs;
+    KnownUpstream(UpstreamRegistration registration, long warmupEndsAtMs) {
+      this.registration = registration;
+      this.warmupEndsAtMs = warmupEndsAtMs;
     }
 
-    boolean gone(long nowMs) {
-      return nowMs >= goneAtMs;
+    boolean isExpired(long nowMs) {
+      return nowMs >= removeAtMs;
     }
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/Exchange.java
@@ -11,22 +11,22 @@
  * <p>Invariant: the end is told once. Confined to the event loop.
  */
 public final class Exchange {
-  private final Outgoing request;
-  private final Consumer<Reply> end;
+  private final OutgoingRequest request;
+  private final Consumer<ExchangeResult> complete;
   private @Nullable Channel channel;
-  private @Nullable Future<?> watch;
-  private long restedMs;
-  private boolean sent;
-  private boolean ended;
+  private @Nullable Future<?> setTimeoutTimer;
+  private long connectionIdleMs;
+  private boolean mayHaveBeenSent;
+  private boolean hasEnded;
 
-  Exchange(Outgoing request, Consumer<Reply> end) {
+  Exchange(OutgoingRequest request, Consumer<ExchangeResult> end) {
     this.request = request;
-    this.end = end;
+    this.complete = end;
   }
 
   /** Gives up: closes the connection, and tells no end. */
-  public void abandon() {
-    if (finish()) {
+  public void abort() {
+    if (markEnded()) {
       closeChannel();
     }
   }
@@ -36,8 +36,8 @@
    *
    * @return false while nothing was written
    */
-  public boolean sent() {
-    return sent;
+  public boolean mayHaveBeenSent() {
+    return mayHaveBeenSent;
   }
 
   /**
@@ -45,54 +45,54 @@
    *
    * @return milliseconds, 0 for a new connection
    */
-  public long restedMs() {
-    return restedMs;
+  public long connectionIdleMs() {
+    return connectionIdleMs;
   }
 
-  void rested(long ms) {
-    restedMs = ms;
+  void setConnectionIdleMs(long ms) {
+    connectionIdleMs = ms;
   }
 
-  Outgoing request() {
+  OutgoingRequest request() {
     return request;
   }
 
-  void watch(Future<?> timer) {
-    this.watch = timer;
+  void setTimeoutTimer(Future<?> timer) {
+    this.setTimeoutTimer = timer;
   }
 
-  void attach(Channel ch) {
-    this.channel = ch;
+  void attach(Channel newChannel) {
+    this.channel = newChannel;
   }
 
-  void sending() {
-    sent = true;
+  void markSending() {
+    mayHaveBeenSent = true;
   }
 
-  boolean ended() {
-    return ended;
+  boolean hasEnded() {
+    return hasEnded;
   }
 
-  void late() {
-    if (finish()) {
+  void timeOut() {
+    if (markEnded()) {
       closeChannel();
-      end.accept(sent ? new Reply.Late() : new Reply.NotSent("no connection in time"));
+      complete.accept(mayHaveBeenSent ? new ExchangeResult.TimedOut() : new ExchangeResult.NotSent("no connection in time"));
     }
   }
 
-  void end(Reply reply) {
-    if (finish()) {
-      end.accept(reply);
+  void complete(ExchangeResult result) {
+    if (markEnded()) {
+      complete.accept(result);
     }
   }
 
-  private boolean finish() {
-    if (ended) {
+  private boolean markEnded() {
+    if (hasEnded) {
       return false;
     }
-    ended = true;
-    if (watch != null) {
-      watch.cancel(false);
+    hasEnded = true;
+    if (setTimeoutTimer != null) {
+      setTimeoutTimer.cancel(false);
     }
     return true;
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Reply.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ExchangeResult.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /** How an exchange with a server ended. Implementations are immutable. */
-public sealed interface Reply {
+public sealed interface ExchangeResult {
   /**
    * A whole answer.
    *
@@ -11,22 +11,22 @@
    * @param headers its header fields
    * @param body its whole body
    */
-  record Answer(int status, HttpHeaders headers, byte[] body) implements Reply {}
+  record Response(int status, HttpHeaders headers, byte[] body) implements ExchangeResult {}
 
   /**
    * Nothing of the request was sent.
    *
    * @param cause what happened
    */
-  record NotSent(String cause) implements Reply {}
+  record NotSent(String cause) implements ExchangeResult {}
 
   /**
    * The request may have been read, and no whole answer came.
    *
    * @param cause what happened
    */
-  record Broken(String cause) implements Reply {}
+  record Incomplete(String cause) implements ExchangeResult {}
 
   /** The request may have been read, and no whole answer came in time. */
-  record Late() implements Reply {}
+  record TimedOut() implements ExchangeResult {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/HttpClient.java
@@ -30,14 +30,14 @@
   private static final int MAX_LINE_BYTES = 16_384;
   private static final int MAX_HEADER_BYTES = 65_536;
   private static final int MAX_CHUNK_BYTES = 65_536;
-  private static final int PROBE_AFTER_S = 1;
-  private static final int PROBES = 2;
+  private static final int KEEPALIVE_PROBE_INTERVAL_S = 1;
+  private static final int MAX_KEEPALIVE_PROBES = 2;
 
   private final EventLoop loop;
-  private final ClientLimits limits;
+  private final HttpClientSettings limits;
   private final LongSupplier clock;
   private final Map<String, Deque<ServerConnection>> idle = new HashMap<>();
-  private long opened;
+  private long openedConnections;
 
   /**
    * Creates a client without connections.
@@ -46,7 +46,7 @@
    * @param limits bounds of its connections
    * @param clock a steady clock, in milliseconds
    */
-  public HttpClient(EventLoop loop, ClientLimits limits, LongSupplier clock) {
+  public HttpClient(EventLoop loop, HttpClientSettings limits, LongSupplier clock) {
     this.loop = loop;
     this.limits = limits;
     this.clock = clock;
@@ -60,13 +60,13 @@
    * @param end receives the end, once
    * @return the exchange
    */
-  public Exchange send(Outgoing request, long timeoutMs, Consumer<Reply> end) {
+  public Exchange send(OutgoingRequest request, long timeoutMs, Consumer<ExchangeResult> end) {
     var exchange = new Exchange(request, end);
-    exchange.watch(loop.schedule(exchange::late, Math.max(1, timeoutMs), TimeUnit.MILLISECONDS));
-    ServerConnection kept = takeIdle(request);
-    if (kept != null) {
-      exchange.rested(kept.idleFor(clock.getAsLong()));
-      kept.run(exchange);
+    exchange.setTimeoutTimer(loop.schedule(exchange::timeOut, Math.max(1, timeoutMs), TimeUnit.MILLISECONDS));
+    ServerConnection reused = takeIdle(request);
+    if (reused != null) {
+      exchange.setConnectionIdleMs(reused.idleFor(clock.getAsLong()));
+      reused.run(exchange);
     } else {
       connect(exchange);
     }
@@ -74,11 +74,11 @@
   }
 
   /** Closes connections that have been idle too long. */
-  public void closeIdle() {
+  public void closeIdleConnections() {
     long now = clock.getAsLong();
     for (Iterator<Deque<ServerConnection>> i = idle.values().iterator(); i.hasNext(); ) {
       Deque<ServerConnection> pool = i.next();
-      while (!pool.isEmpty() && pool.peekLast().idleFor(now) >= pool.peekLast().keepMs()) {
+      while (!pool.isEmpty() && pool.peekLast().idleFor(now) >= pool.peekLast().keepAliveMs()) {
         pool.removeLast().close();
       }
       if (pool.isEmpty()) {
@@ -92,8 +92,8 @@
    *
    * @return the count
    */
-  public long opened() {
-    return opened;
+  public long openedConnections() {
+    return openedConnections;
   }
 
   /**
@@ -102,31 +102,31 @@
    * @param pool the pool's name
    * @return true when an idle connection is there
    */
-  public boolean hasIdle(String pool) {
+  public boolean hasIdleConnection(String pool) {
     return idle.containsKey(pool);
   }
 
-  private @org.jspecify.annotations.Nullable ServerConnection takeIdle(Outgoing r) {
-    Deque<ServerConnection> pool = idle.get(r.pool());
+  private @org.jspecify.annotations.Nullable ServerConnection takeIdle(OutgoingRequest r) {
+    Deque<ServerConnection> pool = idle.get(r.connectionPoolKey());
     if (pool == null) {
       return null;
     }
     long now = clock.getAsLong();
-    ServerConnection c = pool.peekFirst();
+    ServerConnection candidate = pool.peekFirst();
     boolean usable =
-        c != null && c.idleFor(now) <= Math.min(r.idleAtMostMs(), c.keepMs()) && c.open();
+        candidate != null && candidate.idleFor(now) <= Math.min(r.maxIdleMs(), candidate.keepAliveMs()) && candidate.isOpen();
     if (usable) {
       pool.removeFirst();
     }
     if (pool.isEmpty()) {
-      idle.remove(r.pool());
+      idle.remove(r.connectionPoolKey());
     }
-    return usable ? c : null;
+    return usable ? candidate : null;
   }
 
   private void connect(Exchange exchange) {
-    opened++;
-    var connection = new ServerConnection(this, exchange.request().pool(), limits);
+    openedConnections++;
+    var connection = new ServerConnection(this, exchange.request().connectionPoolKey(), limits);
     Address a = exchange.request().address();
     ChannelFuture f = bootstrap(connection).connect(a.ip(), a.port());
     exchange.attach(f.channel());
@@ -135,7 +135,7 @@
           if (done.isSuccess()) {
             connection.run(exchange);
           } else {
-            exchange.end(new Reply.NotSent("connect: " + done.cause().getMessage()));
+            exchange.complete(new ExchangeResult.NotSent("connect: " + done.cause().getMessage()));
           }
         });
   }
@@ -157,23 +157,23 @@
                         .addLast(connection);
                   }
                 });
-    if (limits.keepAliveProbes()) {
+    if (limits.tcpKeepAlive()) {
       b.option(ChannelOption.SO_KEEPALIVE, true)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_S)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_AFTER_S)
-          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES);
+          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_PROBE_INTERVAL_S)
+          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_PROBE_INTERVAL_S)
+          .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), MAX_KEEPALIVE_PROBES);
     }
     return b;
   }
 
-  void keep(ServerConnection c) {
-    idle.computeIfAbsent(c.pool(), p -> new ArrayDeque<>()).addFirst(c);
+  void addIdle(ServerConnection c) {
+    idle.computeIfAbsent(c.connectionPoolKey(), p -> new ArrayDeque<>()).addFirst(c);
   }
 
-  void forget(ServerConnection c) {
-    Deque<ServerConnection> pool = idle.get(c.pool());
+  void removeIdle(ServerConnection c) {
+    Deque<ServerConnection> pool = idle.get(c.connectionPoolKey());
     if (pool != null && pool.remove(c) && pool.isEmpty()) {
-      idle.remove(c.pool());
+      idle.remove(c.connectionPoolKey());
     }
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/Outgoing.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/OutgoingRequest.java
@@ -8,21 +8,21 @@
 /**
  * A request to a server. Confined to one thread.
  *
- * @param pool name of the connections that may carry it
+ * @param connectionPoolKey name of the connections that may carry it
  * @param address the server's address
  * @param method its method
  * @param target its target
  * @param headers its header fields, without those of the body
  * @param body its body, possibly empty
- * @param mine tells from an answer's header fields whether it answers this request
- * @param idleAtMostMs how long a kept connection may have been idle to be used, in milliseconds
+ * @param responseMatcher tells from an answer's header fields whether it answers this request
+ * @param maxIdleMs how long a kept connection may have been idle to be used, in milliseconds
  */
-public record Outgoing(
-    String pool,
+public record OutgoingRequest(
+    String connectionPoolKey,
     Address address,
     HttpMethod method,
     String target,
     HttpHeaders headers,
     byte[] body,
-    Predicate<HttpHeaders> mine,
-    long idleAtMostMs) {}
+    Predicate<HttpHeaders> responseMatcher,
+    long maxIdleMs) {}
--- a/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/net/ServerConnection.java
@@ -27,37 +27,37 @@
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
   private static final String TIMEOUT_FIELD = "timeout=";
-  private static final double KEEP_SHARE = 0.8;
+  private static final double KEEP_ALIVE_SAFETY_FACTOR = 0.8;
   private static final long MS_PER_SECOND = 1_000;
   private static final HttpVersion VERSION = HttpVersion.HTTP_1_1;
 
   private final HttpClient client;
-  private final String pool;
-  private final ClientLimits limits;
+  private final String connectionPoolKey;
+  private final HttpClientSettings limits;
   private @Nullable Channel channel;
   private @Nullable Exchange exchange;
   private @Nullable HttpResponse head;
   private byte[] body = new byte[0];
   private int bodyLength;
-  private boolean skipping;
+  private boolean skippingResponse;
   private boolean reusable = true;
-  private boolean written;
-  private boolean reset;
+  private boolean requestWritten;
+  private boolean connectionFailed;
   private long idleSinceMs;
-  private long keepMs;
+  private long keepAliveMs;
 
-  ServerConnection(HttpClient client, String pool, ClientLimits limits) {
+  ServerConnection(HttpClient client, String pool, HttpClientSettings limits) {
     this.client = client;
-    this.pool = pool;
+    this.connectionPoolKey = pool;
     this.limits = limits;
-    this.keepMs = limits.idleMs();
+    this.keepAliveMs = limits.idleTimeoutMs();
   }
 
-  String pool() {
-    return pool;
+  String connectionPoolKey() {
+    return connectionPoolKey;
   }
 
-  boolean open() {
+  boolean isOpen() {
     return channel != null && channel.isActive();
   }
 
@@ -65,8 +65,8 @@
     return nowMs - idleSinceMs;
   }
 
-  long keepMs() {
-    return keepMs;
+  long keepAliveMs() {
+    return keepAliveMs;
   }
 
   void close() {
@@ -82,24 +82,24 @@
 
   void run(Exchange e) {
     Channel ch = channel;
-    if (ch == null || e.ended()) {
+    if (ch == null || e.hasEnded()) {
       close();
       return;
     }
     exchange = e;
-    written = false;
+    requestWritten = false;
     e.attach(ch);
-    e.sending();
-    ChannelFuture f = ch.writeAndFlush(message(e.request()));
+    e.markSending();
+    ChannelFuture f = ch.writeAndFlush(toNettyRequest(e.request()));
     f.addListener(
         done -> {
           if (exchange == e) {
-            written = done.isSuccess();
+            requestWritten = done.isSuccess();
           }
         });
   }
 
-  private static DefaultFullHttpRequest message(Outgoing r) {
+  private static DefaultFullHttpRequest toNettyRequest(OutgoingRequest r) {
     var m =
         new DefaultFullHttpRequest(
             VERSION, r.method(), r.target(), Unpooled.wrappedBuffer(r.body()));
@@ -126,36 +126,36 @@
       return;
     }
     if (msg instanceof HttpResponse r) {
-      begin(r);
+      startResponse(r);
     }
     if (msg instanceof HttpContent c) {
-      append(c.content());
+      appendBody(c.content());
       if (c.decoderResult().isFailure()) {
-        broken("not an answer");
+        failExchange("not an answer");
       } else if (msg instanceof LastHttpContent) {
-        whole();
+        completeResponse();
       }
     }
   }
 
-  private void begin(HttpResponse r) {
+  private void startResponse(HttpResponse r) {
     if (r.decoderResult().isFailure()) {
-      broken("not an answer");
+      failExchange("not an answer");
       return;
     }
     Exchange e = exchange;
-    skipping = e == null || !e.request().mine().test(r.headers());
+    skippingResponse = e == null || !e.request().responseMatcher().test(r.headers());
     head = r;
     bodyLength = 0;
   }
 
-  private void append(ByteBuf content) {
+  private void appendBody(ByteBuf content) {
     int n = content.readableBytes();
-    if (skipping || n == 0) {
+    if (skippingResponse || n == 0) {
       return;
     }
-    if (bodyLength + n > limits.maxAnswerBytes()) {
-      broken("answer too large");
+    if (bodyLength + n > limits.maxResponseBytes()) {
+      failExchange("answer too large");
       return;
     }
     if (bodyLength + n > body.length) {
@@ -165,24 +165,24 @@
     bodyLength += n;
   }
 
-  private void whole() {
+  private void completeResponse() {
     HttpResponse r = head;
     Exchange e = exchange;
-    if (r == null || e == null || reset) {
+    if (r == null || e == null || connectionFailed) {
       return;
     }
     if (r.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
       return;
     }
-    if (skipping) {
+    if (skippingResponse) {
       reusable = false;
       return;
     }
-    reusable &= written && HttpUtil.isKeepAlive(r);
+    reusable &= requestWritten && HttpUtil.isKeepAlive(r);
     readKeepAlive(r);
-    var answer = new Reply.Answer(r.status().code(), r.headers(), Arrays.copyOf(body, bodyLength));
+    var answer = new ExchangeResult.Response(r.status().code(), r.headers(), Arrays.copyOf(body, bodyLength));
     release();
-    e.end(answer);
+    e.complete(answer);
   }
 
   private void readKeepAlive(HttpResponse r) {
@@ -199,7 +199,7 @@
       }
       seconds = seconds * 10 + (c - '0');
     }
-    keepMs = (long) (seconds * MS_PER_SECOND * KEEP_SHARE);
+    keepAliveMs = (long) (seconds * MS_PER_SECOND * KEEP_ALIVE_SAFETY_FACTOR);
   }
 
   /** Makes the connection idle, or closes it when it can't be used again. */
@@ -209,33 +209,33 @@
     body = new byte[0];
     bodyLength = 0;
     idleSinceMs = client.now();
-    if (reusable && open()) {
-      client.keep(this);
+    if (reusable && isOpen()) {
+      client.addIdle(this);
     } else {
       close();
     }
   }
 
-  private void broken(String cause) {
+  private void failExchange(String cause) {
     Exchange e = exchange;
     exchange = null;
     reusable = false;
     close();
     if (e != null) {
-      e.end(new Reply.Broken(cause));
+      e.complete(new ExchangeResult.Incomplete(cause));
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    reset = true;
-    broken("connection: " + cause.getMessage());
+    connectionFailed = true;
+    failExchange("connection: " + cause.getMessage());
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    client.forget(this);
-    broken("connection closed");
+    client.removeIdle(this);
+    failExchange("connection closed");
     ctx.fireChannelInactive();
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLine.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLine.java
@@ -19,10 +19,10 @@
    */
   public EventLine with(String key, String value) {
     line.append(' ').append(key).append('=');
-    if (plain(value)) {
+    if (isPlain(value)) {
       line.append(value);
     } else {
-      quote(value);
+      appendQuoted(value);
     }
     return this;
   }
@@ -41,10 +41,10 @@
 
   /** Ends the line. */
   public void write() {
-    log.offer(line.toString());
+    log.enqueue(line.toString());
   }
 
-  private static boolean plain(String v) {
+  private static boolean isPlain(String v) {
     for (int i = 0; i < v.length(); i++) {
       char c = v.charAt(i);
       if (c <= ' ' || c >= 0x7f || c == '"' || c == '=' || c == '\\') {
@@ -54,7 +54,7 @@
     return !v.isEmpty();
   }
 
-  private void quote(String v) {
+  private void appendQuoted(String v) {
     line.append('"');
     for (int i = 0; i < v.length(); i++) {
       char c = v.charAt(i);
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/EventLog.java
@@ -19,14 +19,14 @@
  */
 public final class EventLog implements AutoCloseable {
   private static final int RING_LINES = 2_048;
-  private static final long PAUSE_NANOS = 200_000_000;
+  private static final long FLUSH_INTERVAL_NANOS = 200_000_000;
 
   private final RingBuffer<Slot> ring = RingBuffer.createMultiProducer(Slot::new, RING_LINES);
   private final EventPoller<Slot> poller = ring.newPoller();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong droppedSinceFlush = new AtomicLong();
   private final OutputStream out;
   private final StringBuilder batch = new StringBuilder();
-  private volatile long droppedEver;
+  private volatile long droppedTotal;
   private volatile boolean closed;
 
   /**
@@ -46,7 +46,7 @@
    */
   public static EventLog standardOutput() {
     var log = new EventLog(new FileOutputStream(FileDescriptor.out));
-    var writer = new Thread(log::run, "log");
+    var writer = new Thread(log::flushUntilClosed, "log");
     writer.setDaemon(true);
     writer.start();
     return log;
@@ -67,15 +67,15 @@
    *
    * @return the count, as of the last time that lines were written
    */
-  public long dropped() {
-    return droppedEver;
+  public long droppedSinceFlush() {
+    return droppedTotal;
   }
 
   /** Offers a finished line. */
-  void offer(String line) {
+  void enqueue(String line) {
     long time = System.currentTimeMillis();
     if (!ring.tryPublishEvent((slot, sequence) -> slot.set(time, line))) {
-      dropped.incrementAndGet();
+      droppedSinceFlush.incrementAndGet();
     }
   }
 
@@ -83,14 +83,14 @@
   public synchronized void flush() {
     try {
       poller.poll(this::append);
-      long lost = dropped.getAndSet(0);
-      droppedEver += lost;
-      if (lost > 0) {
+      long newlyDropped = droppedSinceFlush.getAndSet(0);
+      droppedTotal += newlyDropped;
+      if (newlyDropped > 0) {
         batch
             .append("time=")
             .append(Instant.now())
             .append(" event=log_dropped lines=")
-            .append(lost)
+            .append(newlyDropped)
             .append(" remedy=\"read standard output faster\"\n");
       }
       if (batch.length() > 0) {
@@ -111,10 +111,10 @@
     return true;
   }
 
-  private void run() {
+  private void flushUntilClosed() {
     while (!closed) {
       flush();
-      LockSupport.parkNanos(PAUSE_NANOS);
+      LockSupport.parkNanos(FLUSH_INTERVAL_NANOS);
     }
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/Figures.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/GatewayMetrics.java
@@ -5,18 +5,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts what the host does. Counting costs an addition; {@link FiguresText} turns the counts into
+ * Counts what the host does. Counting costs an addition; {@link PrometheusFormat} turns the counts into
  * metrics when somebody asks for them.
  *
  * <p>Invariant: at most {@value #MOST_ROUTES} routes are told apart, further ones are counted
  * together. Confined to the event loop.
  */
-public final class Figures {
-  static final int MOST_ROUTES = 200;
+public final class GatewayMetrics {
+  static final int MAX_ROUTES = 200;
   private static final String OTHER = "other";
 
-  private final Map<String, RouteFigures> routes = new LinkedHashMap<>();
-  private final Map<String, Total> totals = new LinkedHashMap<>();
+  private final Map<String, RouteMetrics> routes = new LinkedHashMap<>();
+  private final Map<String, Counter> counters = new LinkedHashMap<>();
 
   /**
    * Returns the counts of a route.
@@ -24,13 +24,13 @@
    * @param name the route's name
    * @return its counts, or those of all routes beyond the bound
    */
-  public RouteFigures route(String name) {
-    RouteFigures known = routes.get(name);
+  public RouteMetrics route(String name) {
+    RouteMetrics known = routes.get(name);
     if (known != null) {
       return known;
     }
-    String counted = routes.size() < MOST_ROUTES ? name : OTHER;
-    return routes.computeIfAbsent(counted, n -> new RouteFigures());
+    String counted = routes.size() < MAX_ROUTES ? name : OTHER;
+    return routes.computeIfAbsent(counted, n -> new RouteMetrics());
   }
 
   /**
@@ -40,18 +40,18 @@
    * @param help what it counts
    * @param value reads it
    */
-  public void total(String name, String help, LongSupplier value) {
-    totals.put(name, new Total(help, value));
+  public void registerCounter(String name, String help, LongSupplier value) {
+    counters.put(name, new Counter(help, value));
   }
 
-  Map<String, RouteFigures> routes() {
+  Map<String, RouteMetrics> routes() {
     return routes;
   }
 
-  Map<String, Total> totals() {
-    return totals;
+  Map<String, Counter> counters() {
+    return counters;
   }
 
   /** A number that only grows. */
-  record Total(String help, LongSupplier value) {}
+  record Counter(String help, LongSupplier value) {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/LatencyCounts.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/LatencyHistogram.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A histogram of times. Confined to the event loop. */
-public final class LatencyCounts {
+public final class LatencyHistogram {
   /** Upper bounds of the buckets, in milliseconds; a last bucket takes what is longer. */
   static final List<Integer> BOUNDS_MS =
       List.of(1, 2, 5, 10, 20, 50, 100, 150, 200, 300, 400, 600, 1_000, 2_000, 5_000);
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/FiguresText.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/PrometheusFormat.java
@@ -18,13 +18,13 @@
  * Writes figures in the Prometheus text format. Only this class uses the metrics library, so that a
  * host that nobody asks for metrics does not load it. Stateless.
  */
-public final class FiguresText {
+public final class PrometheusFormat {
   /** The media type of the text. */
   public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
 
   private static final double MS_PER_SECOND = 1_000;
 
-  private FiguresText() {}
+  private PrometheusFormat() {}
 
   /**
    * Writes figures.
@@ -32,42 +32,42 @@
    * @param f the figures
    * @return the text as UTF-8
    */
-  public static byte[] of(Figures f) {
+  public static byte[] format(GatewayMetrics f) {
     List<MetricSnapshot> metrics = new ArrayList<>();
     metrics.add(
         histogram(
             f,
             "cactusstack_request_seconds",
             "From a request's arrival to an upstream's whole answer",
-            RouteFigures::answered));
+            RouteMetrics::recordAnsweredRequest));
     metrics.add(
         histogram(
             f,
             "cactusstack_queue_seconds",
             "From a request's arrival until an attempt is sent",
-            RouteFigures::waited));
+            RouteMetrics::waited));
     metrics.add(
         counter(
             f,
             "cactusstack_attempts",
             "Attempts by how they ended",
             "end",
-            RouteFigures::attempts));
+            RouteMetrics::attempts));
     metrics.add(
         counter(
             f,
             "cactusstack_refusals",
             "Requests without an upstream's answer, by reason",
             "why",
-            RouteFigures::refusals));
+            RouteMetrics::refusals));
     metrics.add(
         counter(
             f,
             "cactusstack_repeats",
             "Requests that wanted to be sent once more, by whether the budget allowed it",
             "budget",
-            RouteFigures::repeats));
-    f.totals()
+            RouteMetrics::repeats));
+    f.counters()
         .forEach(
             (name, t) ->
                 metrics.add(
@@ -90,12 +90,12 @@
   }
 
   private static MetricSnapshot histogram(
-      Figures f, String name, String help, Function<RouteFigures, LatencyCounts> which) {
+      GatewayMetrics f, String name, String help, Function<RouteMetrics, LatencyHistogram> which) {
     var metric = HistogramSnapshot.builder().name(name).help(help);
     f.routes()
         .forEach(
             (route, figures) -> {
-              LatencyCounts c = which.apply(figures);
+              LatencyHistogram c = which.apply(figures);
               metric.dataPoint(
                   HistogramSnapshot.HistogramDataPointSnapshot.builder()
                       .classicHistogramBuckets(buckets(c))
@@ -106,21 +106,21 @@
     return metric.build();
   }
 
-  private static ClassicHistogramBuckets buckets(LatencyCounts c) {
+  private static ClassicHistogramBuckets buckets(LatencyHistogram c) {
     var buckets = ClassicHistogramBuckets.builder();
-    for (int i = 0; i < LatencyCounts.BOUNDS_MS.size(); i++) {
-      buckets.bucket(LatencyCounts.BOUNDS_MS.get(i) / MS_PER_SECOND, c.count(i));
+    for (int i = 0; i < LatencyHistogram.BOUNDS_MS.size(); i++) {
+      buckets.bucket(LatencyHistogram.BOUNDS_MS.get(i) / MS_PER_SECOND, c.count(i));
     }
-    buckets.bucket(Double.POSITIVE_INFINITY, c.count(LatencyCounts.BOUNDS_MS.size()));
+    buckets.bucket(Double.POSITIVE_INFINITY, c.count(LatencyHistogram.BOUNDS_MS.size()));
     return buckets.build();
   }
 
   private static MetricSnapshot counter(
-      Figures f,
+      GatewayMetrics f,
       String name,
       String help,
       String label,
-      Function<RouteFigures, Map<String, Long>> which) {
+      Function<RouteMetrics, Map<String, Long>> which) {
     var metric = CounterSnapshot.builder().name(name).help(help);
     f.routes()
         .forEach(
--- a/gateway/src/main/java/dev/cactusstack/gateway/observe/RouteFigures.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/observe/RouteMetrics.java
@@ -4,9 +4,9 @@
 import java.util.TreeMap;
 
 /** What happened to the requests of one route. Confined to the event loop. */
-public final class RouteFigures {
-  private final LatencyCounts answered = new LatencyCounts();
-  private final LatencyCounts waited = new LatencyCounts();
+public final class RouteMetrics {
+  private final LatencyHistogram recordAnsweredRequest = new LatencyHistogram();
+  private final LatencyHistogram waited = new LatencyHistogram();
   private final Map<String, Long> attempts = new TreeMap<>();
   private final Map<String, Long> refusals = new TreeMap<>();
   private final Map<String, Long> repeats = new TreeMap<>();
@@ -16,8 +16,8 @@
    *
    * @param ms from its arrival to its whole answer
    */
-  public void answered(long ms) {
-    answered.add(ms);
+  public void recordAnsweredRequest(long ms) {
+    recordAnsweredRequest.add(ms);
   }
 
   /**
@@ -25,7 +25,7 @@
    *
    * @param ms from the request's arrival until then
    */
-  public void sent(long ms) {
+  public void recordSentAttempt(long ms) {
     waited.add(ms);
   }
 
@@ -34,7 +34,7 @@
    *
    * @param end how it ended, one of few words
    */
-  public void attemptEnded(String end) {
+  public void recordAttemptOutcome(String end) {
     attempts.merge(end, 1L, Long::sum);
   }
 
@@ -43,7 +43,7 @@
    *
    * @param why the reason, one of few words
    */
-  public void refused(String why) {
+  public void recordRefusal(String why) {
     refusals.merge(why, 1L, Long::sum);
   }
 
@@ -52,15 +52,15 @@
    *
    * @param allowed whether the budget allowed it
    */
-  public void repeat(boolean allowed) {
+  public void recordRetryDecision(boolean allowed) {
     repeats.merge(allowed ? "allowed" : "denied", 1L, Long::sum);
   }
 
-  LatencyCounts answered() {
-    return answered;
+  LatencyHistogram recordAnsweredRequest() {
+    return recordAnsweredRequest;
   }
 
-  LatencyCounts waited() {
+  LatencyHistogram waited() {
     return waited;
   }
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/ConfigurationCodec.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.RequestKind;
 import dev.cactusstack.model.site.RouteRule;
@@ -20,65 +20,65 @@
 final class ConfigurationCodec {
   private ConfigurationCodec() {}
 
-  static void write(CodedOutputStream out, KnownConfiguration known) throws IOException {
-    SiteConfiguration c = known.configuration();
-    out.writeUInt64NoTag(known.changedAt());
-    out.writeUInt64NoTag(c.revision());
-    out.writeUInt64NoTag(c.version());
-    out.writeUInt32NoTag(c.routes().size());
-    for (RouteRule r : c.routes()) {
-      writeRoute(out, r);
+  static void write(CodedOutputStream out, ConfigurationSnapshot snapshot) throws IOException {
+    SiteConfiguration siteConfiguration = snapshot.configuration();
+    out.writeUInt64NoTag(snapshot.lastChangeRevision());
+    out.writeUInt64NoTag(siteConfiguration.revision());
+    out.writeUInt64NoTag(siteConfiguration.version());
+    out.writeUInt32NoTag(siteConfiguration.routes().size());
+    for (RouteRule route : siteConfiguration.routes()) {
+      writeRoute(out, route);
     }
-    out.writeUInt32NoTag(c.services().size());
-    for (ServiceSettings s : c.services().values()) {
-      writeService(out, s);
+    out.writeUInt32NoTag(siteConfiguration.services().size());
+    for (ServiceSettings settings : siteConfiguration.services().values()) {
+      writeService(out, settings);
     }
-    out.writeUInt32NoTag(c.limits().maxHeaderBytes());
-    out.writeUInt64NoTag(c.limits().maxBodyBytes());
-    out.writeUInt64NoTag(c.limits().headerTimeoutMs());
-    out.writeUInt64NoTag(c.limits().idleTimeoutMs());
-    out.writeUInt32NoTag(c.evacuated().size());
-    for (String dataCentre : c.evacuated()) {
+    out.writeUInt32NoTag(siteConfiguration.limits().maxHeaderBytes());
+    out.writeUInt64NoTag(siteConfiguration.limits().maxBodyBytes());
+    out.writeUInt64NoTag(siteConfiguration.limits().headerTimeoutMs());
+    out.writeUInt64NoTag(siteConfiguration.limits().idleTimeoutMs());
+    out.writeUInt32NoTag(siteConfiguration.evacuated().size());
+    for (String dataCentre : siteConfiguration.evacuated()) {
       out.writeStringNoTag(dataCentre);
     }
   }
 
-  static KnownConfiguration read(CodedInputStream in) throws IOException {
+  static ConfigurationSnapshot read(CodedInputStream in) throws IOException {
     long changedAt = in.readUInt64();
     long revision = in.readUInt64();
     long version = in.readUInt64();
     List<RouteRule> routes = new ArrayList<>();
-    for (int n = LinkCodec.count(in); n > 0; n--) {
+    for (int n = LinkCodec.readCount(in); n > 0; n--) {
       routes.add(readRoute(in));
     }
     Map<String, ServiceSettings> services = new HashMap<>();
-    for (int n = LinkCodec.count(in); n > 0; n--) {
-      ServiceSettings s = readService(in);
-      services.put(s.name(), s);
+    for (int n = LinkCodec.readCount(in); n > 0; n--) {
+      ServiceSettings settings = readService(in);
+      services.put(settings.name(), settings);
     }
     var limits =
         new CallerLimits(in.readUInt32(), in.readUInt64(), in.readUInt64(), in.readUInt64());
     Set<String> evacuated = new HashSet<>();
-    for (int n = LinkCodec.count(in); n > 0; n--) {
+    for (int n = LinkCodec.readCount(in); n > 0; n--) {
       evacuated.add(in.readString());
     }
-    return new KnownConfiguration(
+    return new ConfigurationSnapshot(
         new SiteConfiguration(revision, version, routes, services, limits, evacuated), changedAt);
   }
 
-  private static void writeRoute(CodedOutputStream out, RouteRule r) throws IOException {
-    out.writeStringNoTag(r.name());
-    out.writeStringNoTag(r.host());
-    out.writeStringNoTag(r.prefix());
-    out.writeUInt32NoTag(r.kind().ordinal());
-    out.writeUInt64NoTag(r.timeoutMs());
-    out.writeUInt64NoTag(r.latencyObjectiveMs());
-    out.writeUInt32NoTag(r.priority());
-    out.writeUInt32NoTag(r.maxAttempts());
-    out.writeUInt32NoTag(r.weightedServices().size());
-    for (RouteRule.WeightedService p : r.weightedServices()) {
-      out.writeStringNoTag(p.service());
-      out.writeDoubleNoTag(p.weight());
+  private static void writeRoute(CodedOutputStream out, RouteRule route) throws IOException {
+    out.writeStringNoTag(route.name());
+    out.writeStringNoTag(route.host());
+    out.writeStringNoTag(route.prefix());
+    out.writeUInt32NoTag(route.kind().ordinal());
+    out.writeUInt64NoTag(route.timeoutMs());
+    out.writeUInt64NoTag(route.latencyObjectiveMs());
+    out.writeUInt32NoTag(route.priority());
+    out.writeUInt32NoTag(route.maxAttempts());
+    out.writeUInt32NoTag(route.weightedServices().size());
+    for (RouteRule.WeightedService weighted : route.weightedServices()) {
+      out.writeStringNoTag(weighted.service());
+      out.writeDoubleNoTag(weighted.weight());
     }
   }
 
@@ -86,25 +86,25 @@
     String name = in.readString();
     String host = in.readString();
     String prefix = in.readString();
-    RequestKind kind = RequestKind.values()[LinkCodec.count(in)];
+    RequestKind kind = RequestKind.values()[LinkCodec.readCount(in)];
     long timeoutMs = in.readUInt64();
     long objectiveMs = in.readUInt64();
     int priority = in.readUInt32();
     int maxAttempts = in.readUInt32();
-    List<RouteRule.WeightedService> parts = new ArrayList<>();
-    for (int n = LinkCodec.count(in); n > 0; n--) {
-      parts.add(new RouteRule.WeightedService(in.readString(), in.readDouble()));
+    List<RouteRule.WeightedService> targets = new ArrayList<>();
+    for (int n = LinkCodec.readCount(in); n > 0; n--) {
+      targets.add(new RouteRule.WeightedService(in.readString(), in.readDouble()));
     }
     return new RouteRule(
-        name, host, prefix, kind, timeoutMs, objectiveMs, priority, maxAttempts, parts);
+        name, host, prefix, kind, timeoutMs, objectiveMs, priority, maxAttempts, targets);
   }
 
-  private static void writeService(CodedOutputStream out, ServiceSettings s) throws IOException {
-    out.writeStringNoTag(s.name());
-    out.writeStringNoTag(s.healthPath());
-    out.writeUInt32NoTag(s.maxConnections());
-    out.writeUInt64NoTag(s.warmupMs());
-    out.writeDoubleNoTag(s.warmupRequestsPerSecond());
+  private static void writeService(CodedOutputStream out, ServiceSettings settings) throws IOException {
+    out.writeStringNoTag(settings.name());
+    out.writeStringNoTag(settings.healthPath());
+    out.writeUInt32NoTag(settings.maxConnections());
+    out.writeUInt64NoTag(settings.warmupMs());
+    out.writeDoubleNoTag(settings.warmupRequestsPerSecond());
   }
 
   private static ServiceSettings readService(CodedInputStream in) throws IOException {
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Link.java
@@ -21,12 +21,12 @@
 
 /** Sends and receives datagrams of other hosts. Confined to the event loop. */
 public final class Link {
-  private static final int MOST_BYTES = 32_768;
+  private static final int MAX_DATAGRAM_BYTES = 32_768;
 
   private final EventLoop loop;
   private final EventLog log;
   private @Nullable Channel channel;
-  private long sent;
+  private long sentMessageCount;
 
   /**
    * Creates a link that is not open.
@@ -47,37 +47,37 @@
    * @return completes when messages can arrive
    */
   public ChannelFuture open(Address address, BiConsumer<LinkMessage, Address> receiver) {
-    ChannelFuture f =
+    ChannelFuture bound =
         new Bootstrap()
             .group(loop)
             .channel(NioDatagramChannel.class)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_BYTES))
+            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
             .handler(new Receiver(receiver))
             .bind(address.ip(), address.port());
-    channel = f.channel();
-    return f;
+    channel = bound.channel();
+    return bound;
   }
 
   /**
    * Sends a message; it may get lost.
    *
-   * @param m the message
-   * @param to where to
+   * @param message the message
+   * @param destination where to
    */
-  public void send(LinkMessage m, Address to) {
-    Channel ch = channel;
-    if (ch != null && ch.isActive()) {
-      byte[] bytes = LinkCodec.encode(m);
-      if (bytes.length > MOST_BYTES) {
+  public void send(LinkMessage message, Address destination) {
+    Channel openChannel = channel;
+    if (openChannel != null && openChannel.isActive()) {
+      byte[] bytes = LinkCodec.encode(message);
+      if (bytes.length > MAX_DATAGRAM_BYTES) {
         log.event("link_too_large")
             .with("bytes", bytes.length)
             .with("remedy", "the receiver reads the store instead")
             .write();
         return;
       }
-      sent++;
-      var receiver = new InetSocketAddress(to.ip(), to.port());
-      ch.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), receiver));
+      sentMessageCount++;
+      var socketAddress = new InetSocketAddress(destination.ip(), destination.port());
+      openChannel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), socketAddress));
     }
   }
 
@@ -86,8 +86,8 @@
    *
    * @return the count
    */
-  public long sent() {
-    return sent;
+  public long sentMessageCount() {
+    return sentMessageCount;
   }
 
   /** Decodes datagrams. Confined to the event loop. */
@@ -99,11 +99,11 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket p) {
-      InetSocketAddress from = p.sender();
+    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket datagram) {
+      InetSocketAddress from = datagram.sender();
       try {
-        LinkMessage m = LinkCodec.decode(ByteBufUtil.getBytes(p.content()));
-        receiver.accept(m, new Address(from.getAddress().getHostAddress(), from.getPort()));
+        LinkMessage message = LinkCodec.decode(ByteBufUtil.getBytes(datagram.content()));
+        receiver.accept(message, new Address(from.getAddress().getHostAddress(), from.getPort()));
       } catch (IOException e) {
         log.event("link_unreadable")
             .with("from", String.valueOf(from))
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkCodec.java
@@ -26,7 +26,7 @@
  * version byte. Stateless and thread-safe.
  */
 public final class LinkCodec {
-  private static final int VERSION = 1;
+  private static final int FORMAT_VERSION = 1;
   private static final int MAX_ITEMS = 1_000;
 
   private LinkCodec() {}
@@ -34,15 +34,15 @@
   /**
    * Encodes a message.
    *
-   * @param m the message
+   * @param message the message
    * @return its bytes
    */
-  public static byte[] encode(LinkMessage m) {
+  public static byte[] encode(LinkMessage message) {
     var bytes = new ByteArrayOutputStream();
     CodedOutputStream out = CodedOutputStream.newInstance(bytes);
     try {
-      out.writeUInt32NoTag(VERSION);
-      write(out, m);
+      out.writeUInt32NoTag(FORMAT_VERSION);
+      write(out, message);
       out.flush();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -59,104 +59,104 @@
    */
   public static LinkMessage decode(byte[] bytes) throws IOException {
     CodedInputStream in = CodedInputStream.newInstance(bytes);
-    if (in.readUInt32() != VERSION) {
+    if (in.readUInt32() != FORMAT_VERSION) {
       throw new IOException("another version");
     }
     try {
-      return Type.values()[count(in)].read(in);
+      return Type.values()[readCount(in)].read(in);
     } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
       throw new IOException("not a message", e);
     }
   }
 
-  private static void write(CodedOutputStream out, LinkMessage m) throws IOException {
-    if (m instanceof LinkMessage.Beat b) {
-      out.writeUInt32NoTag(Type.BEAT.ordinal());
-      writeBeat(out, b);
-    } else if (m instanceof LinkMessage.Asked a) {
-      out.writeUInt32NoTag(Type.ASKED.ordinal());
-      out.writeStringNoTag(a.service());
-      writeAsk(out, a.ask());
-    } else if (m instanceof LinkMessage.Decided d) {
-      out.writeUInt32NoTag(Type.DECIDED.ordinal());
-      writeVerdict(out, d.verdict());
-    } else if (m instanceof LinkMessage.Ended e) {
-      out.writeUInt32NoTag(Type.ENDED.ordinal());
-      writeEnded(out, e);
-    } else if (m instanceof LinkMessage.Withdrawn w) {
-      out.writeUInt32NoTag(Type.WITHDRAWN.ordinal());
+  private static void write(CodedOutputStream out, LinkMessage message) throws IOException {
+    if (message instanceof LinkMessage.Gossip gossip) {
+      out.writeUInt32NoTag(Type.GOSSIP.ordinal());
+      writeGossip(out, gossip);
+    } else if (message instanceof LinkMessage.RequestSubmitted submitted) {
+      out.writeUInt32NoTag(Type.REQUEST_SUBMITTED.ordinal());
+      out.writeStringNoTag(submitted.service());
+      writeRequest(out, submitted.request());
+    } else if (message instanceof LinkMessage.DecisionMade decided) {
+      out.writeUInt32NoTag(Type.DECISION_MADE.ordinal());
+      writeDecision(out, decided.decision());
+    } else if (message instanceof LinkMessage.AttemptsEnded ended) {
+      out.writeUInt32NoTag(Type.ATTEMPTS_ENDED.ordinal());
+      writeAttempts(out, ended);
+    } else if (message instanceof LinkMessage.RequestCancelled w) {
+      out.writeUInt32NoTag(Type.REQUEST_CANCELLED.ordinal());
       out.writeStringNoTag(w.service());
       writeKey(out, w.key());
-    } else if (m instanceof LinkMessage.Unable u) {
-      out.writeUInt32NoTag(Type.UNABLE.ordinal());
-      writeKey(out, u.key());
-    } else if (m instanceof LinkMessage.Rules r) {
-      out.writeUInt32NoTag(Type.RULES.ordinal());
-      ConfigurationCodec.write(out, r.known());
-    } else if (m instanceof LinkMessage.RulesWanted w) {
-      out.writeUInt32NoTag(Type.RULES_WANTED.ordinal());
-      out.writeUInt64NoTag(w.after());
+    } else if (message instanceof LinkMessage.RequestDeclined declined) {
+      out.writeUInt32NoTag(Type.REQUEST_DECLINED.ordinal());
+      writeKey(out, declined.key());
+    } else if (message instanceof LinkMessage.ConfigurationUpdate update) {
+      out.writeUInt32NoTag(Type.CONFIGURATION_UPDATE.ordinal());
+      ConfigurationCodec.write(out, update.snapshot());
+    } else if (message instanceof LinkMessage.ConfigurationQuery w) {
+      out.writeUInt32NoTag(Type.CONFIGURATION_QUERY.ordinal());
+      out.writeUInt64NoTag(w.knownRevision());
     }
   }
 
   /** The kinds of message, with how each is read. */
   private enum Type {
-    BEAT {
+    GOSSIP {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return readBeat(in);
+        return readGossip(in);
       }
     },
-    ASKED {
+    REQUEST_SUBMITTED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Asked(in.readString(), readAsk(in));
+        return new LinkMessage.RequestSubmitted(in.readString(), readRequest(in));
       }
     },
-    DECIDED {
+    DECISION_MADE {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Decided(readVerdict(in));
+        return new LinkMessage.DecisionMade(readDecision(in));
       }
     },
-    ENDED {
+    ATTEMPTS_ENDED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return readEnded(in);
+        return readAttempts(in);
       }
     },
-    WITHDRAWN {
+    REQUEST_CANCELLED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Withdrawn(in.readString(), readKey(in));
+        return new LinkMessage.RequestCancelled(in.readString(), readKey(in));
       }
     },
-    UNABLE {
+    REQUEST_DECLINED {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Unable(readKey(in));
+        return new LinkMessage.RequestDeclined(readKey(in));
       }
     },
-    RULES {
+    CONFIGURATION_UPDATE {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.Rules(ConfigurationCodec.read(in));
+        return new LinkMessage.ConfigurationUpdate(ConfigurationCodec.read(in));
       }
     },
-    RULES_WANTED {
+    CONFIGURATION_QUERY {
       @Override
       LinkMessage read(CodedInputStream in) throws IOException {
-        return new LinkMessage.RulesWanted(in.readUInt64());
+        return new LinkMessage.ConfigurationQuery(in.readUInt64());
       }
     };
 
     abstract LinkMessage read(CodedInputStream in) throws IOException;
   }
 
-  private static void writeBeat(CodedOutputStream out, LinkMessage.Beat b) throws IOException {
+  private static void writeGossip(CodedOutputStream out, LinkMessage.Gossip b) throws IOException {
     out.writeUInt64NoTag(b.configurationRevision());
-    out.writeUInt32NoTag(b.news().size());
-    for (HostRegistration e : b.news()) {
+    out.writeUInt32NoTag(b.recentlyStarted().size());
+    for (HostRegistration e : b.recentlyStarted()) {
       out.writeStringNoTag(e.name());
       out.writeStringNoTag(e.dataCentre());
       writeAddress(out, e.callerAddress());
@@ -164,8 +164,8 @@
       out.writeUInt32NoTag(e.milliCores());
       out.writeUInt64NoTag(e.incarnation());
     }
-    out.writeUInt32NoTag(b.pulses().size());
-    for (HeartbeatState p : b.pulses()) {
+    out.writeUInt32NoTag(b.heartbeats().size());
+    for (HeartbeatState p : b.heartbeats()) {
       out.writeFixed32NoTag(p.hostHash());
       out.writeUInt64NoTag(p.incarnation());
       out.writeUInt64NoTag(p.counter());
@@ -175,10 +175,10 @@
     }
   }
 
-  private static LinkMessage readBeat(CodedInputStream in) throws IOException {
+  private static LinkMessage readGossip(CodedInputStream in) throws IOException {
     long revision = in.readUInt64();
     List<HostRegistration> news = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       news.add(
           new HostRegistration(
               in.readString(),
@@ -189,7 +189,7 @@
               in.readUInt64()));
     }
     List<HeartbeatState> pulses = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       pulses.add(
           new HeartbeatState(
               in.readFixed32(),
@@ -199,10 +199,10 @@
               in.readBool(),
               in.readBool()));
     }
-    return new LinkMessage.Beat(revision, news, pulses);
+    return new LinkMessage.Gossip(revision, news, pulses);
   }
 
-  private static void writeAsk(CodedOutputStream out, PlacementRequest a) throws IOException {
+  private static void writeRequest(CodedOutputStream out, PlacementRequest a) throws IOException {
     writeKey(out, a.key());
     out.writeStringNoTag(a.dataCentre());
     out.writeStringNoTag(a.route());
@@ -218,7 +218,7 @@
     }
   }
 
-  private static PlacementRequest readAsk(CodedInputStream in) throws IOException {
+  private static PlacementRequest readRequest(CodedInputStream in) throws IOException {
     PlacementKey key = readKey(in);
     String dataCentre = in.readString();
     String route = in.readString();
@@ -229,14 +229,14 @@
     int body = in.readUInt32();
     boolean spare = in.readBool();
     Set<String> tried = new HashSet<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       tried.add(in.readString());
     }
     return new PlacementRequest(
         key, dataCentre, route, priority, objective, onTime, left, body, spare, tried);
   }
 
-  private static void writeVerdict(CodedOutputStream out, PlacementDecision v) throws IOException {
+  private static void writeDecision(CodedOutputStream out, PlacementDecision v) throws IOException {
     writeKey(out, v.key());
     if (v instanceof PlacementDecision.Placed p) {
       out.writeUInt32NoTag(1);
@@ -249,7 +249,7 @@
     }
   }
 
-  private static PlacementDecision readVerdict(CodedInputStream in) throws IOException {
+  private static PlacementDecision readDecision(CodedInputStream in) throws IOException {
     PlacementKey key = readKey(in);
     return switch (in.readUInt32()) {
       case 1 -> new PlacementDecision.Placed(key, readUpstream(in));
@@ -280,7 +280,7 @@
         in.readUInt64());
   }
 
-  private static void writeEnded(CodedOutputStream out, LinkMessage.Ended e) throws IOException {
+  private static void writeAttempts(CodedOutputStream out, LinkMessage.AttemptsEnded e) throws IOException {
     out.writeStringNoTag(e.service());
     out.writeUInt32NoTag(e.reports().size());
     for (AttemptReport r : e.reports()) {
@@ -299,13 +299,13 @@
     }
   }
 
-  private static LinkMessage readEnded(CodedInputStream in) throws IOException {
+  private static LinkMessage readAttempts(CodedInputStream in) throws IOException {
     String service = in.readString();
     List<AttemptReport> reports = new ArrayList<>();
-    for (int n = count(in); n > 0; n--) {
+    for (int n = readCount(in); n > 0; n--) {
       PlacementKey key = readKey(in);
       String upstream = in.readString();
-      AttemptOutcome end = AttemptOutcome.values()[count(in)];
+      AttemptOutcome end = AttemptOutcome.values()[readCount(in)];
       long took = in.readUInt64();
       Optional<ReportedLoad> load =
           in.readBool()
@@ -315,7 +315,7 @@
               : Optional.empty();
       reports.add(new AttemptReport(key, upstream, end, took, load));
     }
-    return new LinkMessage.Ended(service, reports);
+    return new LinkMessage.AttemptsEnded(service, reports);
   }
 
   private static void writeKey(CodedOutputStream out, PlacementKey k) throws IOException {
@@ -336,7 +336,7 @@
     return new Address(in.readString(), in.readUInt32());
   }
 
-  static int count(CodedInputStream in) throws IOException {
+  static int readCount(CodedInputStream in) throws IOException {
     int n = in.readUInt32();
     if (n < 0 || n > MAX_ITEMS) {
       throw new IOException("too many items");
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LinkMessage.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.decisions.placing.PlacementDecision;
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.site.HostRegistration;
 import java.util.List;
 
@@ -15,46 +15,46 @@
    * A round of gossip.
    *
    * @param configurationRevision the store's revision of the newest change that the sender knows
-   * @param news entries of hosts whose start is news, the sender's own first
-   * @param pulses heartbeat counters
+   * @param recentlyStarted entries of hosts whose start is news, the sender's own first
+   * @param heartbeats heartbeat counters
    */
-  record Beat(long configurationRevision, List<HostRegistration> news, List<HeartbeatState> pulses)
+  record Gossip(long configurationRevision, List<HostRegistration> recentlyStarted, List<HeartbeatState> heartbeats)
       implements LinkMessage {
     /** Copies the components. */
-    public Beat {
-      news = List.copyOf(news);
-      pulses = List.copyOf(pulses);
+    public Gossip {
+      recentlyStarted = List.copyOf(recentlyStarted);
+      heartbeats = List.copyOf(heartbeats);
     }
   }
 
   /**
    * The configuration in force at the sender.
    *
-   * @param known what it has in force, and since when
+   * @param snapshot what it has in force, and since when
    */
-  record Rules(KnownConfiguration known) implements LinkMessage {}
+  record ConfigurationUpdate(ConfigurationSnapshot snapshot) implements LinkMessage {}
 
   /**
    * Asks for the configuration in force at the receiver, if it is newer.
    *
-   * @param after the store's revision up to which the sender knows it
+   * @param knownRevision the store's revision up to which the sender knows it
    */
-  record RulesWanted(long after) implements LinkMessage {}
+  record ConfigurationQuery(long knownRevision) implements LinkMessage {}
 
   /**
    * A request that wants an upstream.
    *
    * @param service the service's name
-   * @param ask the request
+   * @param request the request
    */
-  record Asked(String service, PlacementRequest ask) implements LinkMessage {}
+  record RequestSubmitted(String service, PlacementRequest request) implements LinkMessage {}
 
   /**
    * What was decided about it.
    *
-   * @param verdict the decision
+   * @param decision the decision
    */
-  record Decided(PlacementDecision verdict) implements LinkMessage {}
+  record DecisionMade(PlacementDecision decision) implements LinkMessage {}
 
   /**
    * Ends of attempts; the newest first, then some that were told before, as datagrams get lost.
@@ -62,9 +62,9 @@
    * @param service the service's name
    * @param reports the ends
    */
-  record Ended(String service, List<AttemptReport> reports) implements LinkMessage {
+  record AttemptsEnded(String service, List<AttemptReport> reports) implements LinkMessage {
     /** Copies the components. */
-    public Ended {
+    public AttemptsEnded {
       reports = List.copyOf(reports);
     }
   }
@@ -75,7 +75,7 @@
    * @param service the service's name
    * @param key its ask
    */
-  record Withdrawn(String service, PlacementKey key) implements LinkMessage {}
+  record RequestCancelled(String service, PlacementKey key) implements LinkMessage {}
 
   /**
    * An ask that the sender does not decide, because it does not reach the store, or has not read
@@ -83,5 +83,5 @@
    *
    * @param key the ask
    */
-  record Unable(PlacementKey key) implements LinkMessage {}
+  record RequestDeclined(PlacementKey key) implements LinkMessage {}
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Schedulers.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/LocalSchedulers.java
@@ -23,7 +23,7 @@
  * This host's schedulers, one for each service that some host has asked about. Confined to the
  * event loop.
  */
-public final class Schedulers {
+public final class LocalSchedulers {
   private static final long TICK_MS = 20;
   private static final long PROBE_TICK_MS = 50;
   private static final long PROBE_WHILE_ASKED_MS = 1_000;
@@ -33,7 +33,7 @@
   private final EventLog log;
   private final SchedulerSettings settings;
   private final UpstreamsController upstreams;
-  private final Prober prober;
+  private final UpstreamProber prober;
   private final BooleanSupplier othersInformed;
   private final Map<String, Scheduler> byService = new HashMap<>();
   private final Map<String, Long> askedAt = new HashMap<>();
@@ -52,13 +52,13 @@
    * @param prober asks upstreams for their load
    * @param othersInformed whether another host reaches the store
    */
-  public Schedulers(
+  public LocalSchedulers(
       EventLoop loop,
       LongSupplier clock,
       EventLog log,
       SchedulerSettings settings,
       UpstreamsController upstreams,
-      Prober prober,
+      UpstreamProber prober,
       BooleanSupplier othersInformed) {
     this.loop = loop;
     this.clock = clock;
@@ -70,21 +70,21 @@
     upstreams.onChange(this::refresh);
   }
 
-  void onVerdict(Consumer<PlacementDecision> receiver) {
+  void onDecision(Consumer<PlacementDecision> receiver) {
     verdicts = receiver;
   }
 
   /** Decides about an ask of this host itself, with whatever is known. */
-  void ask(String service, PlacementRequest ask) {
-    upstreams.whenFresh(() -> decide(service, ask));
+  void submit(String service, PlacementRequest ask) {
+    upstreams.runWhenFresh(() -> decide(service, ask));
   }
 
   /** Decides about an ask of another host, unless this one knows nothing or others know more. */
-  void ask(String service, PlacementRequest ask, Runnable unable) {
-    upstreams.whenFresh(
+  void submit(String service, PlacementRequest ask, Runnable unable) {
+    upstreams.runWhenFresh(
         () -> {
-          boolean othersKnowMore = upstreams.stale() && othersInformed.getAsBoolean();
-          if (upstreams.unread() || othersKnowMore) {
+          boolean othersKnowMore = upstreams.isStale() && othersInformed.getAsBoolean();
+          if (upstreams.isNeverRead() || othersKnowMore) {
             unable.run();
           } else {
             decide(service, ask);
@@ -107,7 +107,7 @@
     }
   }
 
-  void withdraw(String service, PlacementKey key) {
+  void cancelQueued(String service, PlacementKey key) {
     Scheduler s = byService.get(service);
     if (s != null) {
       s.cancel(key);
@@ -119,7 +119,7 @@
     if (s == null) {
       s = new Scheduler(settings);
       byService.put(service, s);
-      s.updateUpstreams(upstreams.rule(service), upstreams.usable(service), clock.getAsLong());
+      s.updateUpstreams(upstreams.serviceSettings(service), upstreams.usableUpstreams(service), clock.getAsLong());
     }
     return s;
   }
@@ -127,7 +127,7 @@
   private void refresh() {
     long now = clock.getAsLong();
     byService.forEach(
-        (service, s) -> s.updateUpstreams(upstreams.rule(service), upstreams.usable(service), now));
+        (service, s) -> s.updateUpstreams(upstreams.serviceSettings(service), upstreams.usableUpstreams(service), now));
   }
 
   private void deliver(String service, List<PlacementDecision> list) {
@@ -162,7 +162,7 @@
     askedAt.values().removeIf(at -> now - at > PROBE_WHILE_ASKED_MS);
     for (String service : askedAt.keySet()) {
       Scheduler s = scheduler(service);
-      String path = upstreams.rule(service).healthPath();
+      String path = upstreams.serviceSettings(service).healthPath();
       for (UpstreamRegistration u :
           path.isEmpty() ? List.<UpstreamRegistration>of() : s.selectProbeTargets(now)) {
         prober.probe(
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Placement.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/PlacementClient.java
@@ -32,7 +32,7 @@
  * know less than one. A host that still does not answer is passed over for a while: the request
  * goes to the next in rank, and then to this host's own scheduler. Confined to the event loop.
  */
-public final class Placement {
+public final class PlacementClient {
   private static final long RESEND_MS = 35;
   private static final long ANSWER_TIMEOUT_MS = 50;
   private static final long SUSPECT_MS = 1_000;
@@ -46,7 +46,7 @@
   private final EventLog log;
   private final Link link;
   private final PeerTable peers;
-  private final Schedulers schedulers;
+  private final LocalSchedulers schedulers;
   private final int self;
   private final Map<Long, Pending> pending = new HashMap<>();
   private final Map<Long, Address> placedBy = new HashMap<>();
@@ -68,13 +68,13 @@
    * @param selfName this host's name
    * @param firstNumber the number before the first ask, another one for each life of the host
    */
-  public Placement(
+  public PlacementClient(
       EventLoop loop,
       LongSupplier clock,
       EventLog log,
       Link link,
       PeerTable peers,
-      Schedulers schedulers,
+      LocalSchedulers schedulers,
       String selfName,
       long firstNumber) {
     this.loop = loop;
@@ -85,7 +85,7 @@
     this.schedulers = schedulers;
     this.self = PeerTable.hash(selfName);
     this.lastNumber = firstNumber;
-    schedulers.onVerdict(this::deliver);
+    schedulers.onDecision(this::deliver);
   }
 
   /**
@@ -104,7 +104,7 @@
    * @param ask the request
    * @param end receives one place or refusal
    */
-  public void place(String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
+  public void requestPlacement(String service, PlacementRequest ask, Consumer<PlacementDecision> end) {
     ask(new Pending(service, ask, end));
   }
 
@@ -128,7 +128,7 @@
     while (last.size() > REPEATED_REPORTS) {
       last.removeLast();
     }
-    link.send(new LinkMessage.Ended(service, told), by);
+    link.send(new LinkMessage.AttemptsEnded(service, told), by);
   }
 
   /**
@@ -136,16 +136,16 @@
    *
    * @param key the ask
    */
-  public void withdraw(PlacementKey key) {
+  public void cancelPlacement(PlacementKey key) {
     Pending p = pending.remove(key.sequenceNumber());
     if (p == null) {
       return;
     }
     p.stopTimer();
     if (p.asked == null) {
-      schedulers.withdraw(p.service, key);
+      schedulers.cancelQueued(p.service, key);
     } else {
-      link.send(new LinkMessage.Withdrawn(p.service, key), p.asked);
+      link.send(new LinkMessage.RequestCancelled(p.service, key), p.asked);
     }
   }
 
@@ -155,27 +155,27 @@
    * @param m the message
    * @param from its sender
    */
-  public void received(LinkMessage m, Address from) {
-    if (m instanceof LinkMessage.Asked a) {
-      askers.put(a.ask().key().hostHash(), from);
-      schedulers.ask(a.service(), a.ask(), () -> link.send(new LinkMessage.Unable(key(a)), from));
-    } else if (m instanceof LinkMessage.Decided d) {
+  public void onMessage(LinkMessage m, Address from) {
+    if (m instanceof LinkMessage.RequestSubmitted a) {
+      askers.put(a.request().key().hostHash(), from);
+      schedulers.submit(a.service(), a.request(), () -> link.send(new LinkMessage.RequestDeclined(key(a)), from));
+    } else if (m instanceof LinkMessage.DecisionMade d) {
       suspects.remove(from);
-      decided(d.verdict(), from);
-    } else if (m instanceof LinkMessage.Unable u) {
+      decided(d.decision(), from);
+    } else if (m instanceof LinkMessage.RequestDeclined u) {
       Pending p = pending.get(u.key().sequenceNumber());
       if (p != null && from.equals(p.asked)) {
         passOver(p, from, "unable");
       }
-    } else if (m instanceof LinkMessage.Ended e) {
+    } else if (m instanceof LinkMessage.AttemptsEnded e) {
       e.reports().forEach(r -> schedulers.report(e.service(), r));
-    } else if (m instanceof LinkMessage.Withdrawn w) {
-      schedulers.withdraw(w.service(), w.key());
+    } else if (m instanceof LinkMessage.RequestCancelled w) {
+      schedulers.cancelQueued(w.service(), w.key());
     }
   }
 
-  private static PlacementKey key(LinkMessage.Asked a) {
-    return a.ask().key();
+  private static PlacementKey key(LinkMessage.RequestSubmitted a) {
+    return a.request().key();
   }
 
   private void ask(Pending p) {
@@ -184,7 +184,7 @@
     pending.put(p.ask.key().sequenceNumber(), p);
     if (owner.isEmpty()) {
       p.asked = null;
-      schedulers.ask(p.service, p.ask);
+      schedulers.submit(p.service, p.ask);
       return;
     }
     p.asked = owner.get();
@@ -194,7 +194,7 @@
 
   private void send(Pending p, Address owner, long patienceMs) {
     p.startTimer(loop.schedule(() -> silent(p), patienceMs, TimeUnit.MILLISECONDS));
-    link.send(new LinkMessage.Asked(p.service, p.ask), owner);
+    link.send(new LinkMessage.RequestSubmitted(p.service, p.ask), owner);
   }
 
   /** The host to ask, or nothing when it is this one. */
@@ -230,7 +230,7 @@
       send(p, asked, ANSWER_TIMEOUT_MS);
       return;
     }
-    link.send(new LinkMessage.Withdrawn(p.service, p.ask.key()), asked);
+    link.send(new LinkMessage.RequestCancelled(p.service, p.ask.key()), asked);
     passOver(p, asked, "silent");
   }
 
@@ -280,7 +280,7 @@
     var unused =
         new AttemptReport(v.key(), v.upstream().id(), AttemptOutcome.UNUSED, 0, Optional.empty());
     String service = p != null ? p.service : v.upstream().service();
-    link.send(new LinkMessage.Ended(service, List.of(unused)), from);
+    link.send(new LinkMessage.AttemptsEnded(service, List.of(unused)), from);
   }
 
   /** Passes on a verdict of this host's own schedulers. */
@@ -288,7 +288,7 @@
     if (v.key().hostHash() != self) {
       Address asker = askers.get(v.key().hostHash());
       if (asker != null) {
-        link.send(new LinkMessage.Decided(v), asker);
+        link.send(new LinkMessage.DecisionMade(v), asker);
       }
       return;
     }
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/Prober.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
@@ -2,9 +2,9 @@
 
 import dev.cactusstack.decisions.placing.ReportedLoad;
 import dev.cactusstack.gateway.net.HttpClient;
-import dev.cactusstack.gateway.net.Outgoing;
-import dev.cactusstack.gateway.net.Reply;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.net.OutgoingRequest;
+import dev.cactusstack.gateway.net.ExchangeResult;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -13,12 +13,12 @@
 import java.util.function.Consumer;
 
 /** Asks upstreams for their load, outside any request. Confined to the event loop. */
-public final class Prober {
+public final class UpstreamProber {
   private static final long TIMEOUT_MS = 300;
 
   private final HttpClient client;
-  private final UpstreamWire wire;
-  private long sent;
+  private final UpstreamHeaders wire;
+  private long sentProbeCount;
 
   /**
    * Creates a prober.
@@ -26,7 +26,7 @@
    * @param client connections to upstreams
    * @param wire header fields
    */
-  public Prober(HttpClient client, UpstreamWire wire) {
+  public UpstreamProber(HttpClient client, UpstreamHeaders wire) {
     this.client = client;
     this.wire = wire;
   }
@@ -36,30 +36,30 @@
    *
    * @return the count
    */
-  public long sent() {
-    return sent;
+  public long sentProbeCount() {
+    return sentProbeCount;
   }
 
   void probe(UpstreamRegistration u, String path, Consumer<ReportedLoad> figures) {
-    sent++;
+    sentProbeCount++;
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.HOST, u.address().toString());
     var request =
-        new Outgoing(
+        new OutgoingRequest(
             u.connectionPoolKey(),
             u.address(),
             HttpMethod.GET,
             path,
             headers,
             new byte[0],
-            h -> wire.answersProbe(h, u.id()),
+            h -> wire.isProbeResponse(h, u.id()),
             Long.MAX_VALUE);
     client.send(
         request,
         TIMEOUT_MS,
         reply -> {
-          if (reply instanceof Reply.Answer a) {
-            wire.load(a.headers()).ifPresent(figures);
+          if (reply instanceof ExchangeResult.Response a) {
+            wire.reportedLoad(a.headers()).ifPresent(figures);
           }
         });
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/KnownConfiguration.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/ConfigurationSnapshot.java
@@ -7,11 +7,11 @@
  * A configuration with the revision of its newest change. Immutable and thread-safe.
  *
  * @param configuration all that operators say, as of its revision
- * @param changedAt the store's revision of the newest change in it
+ * @param lastChangeRevision the store's revision of the newest change in it
  */
-public record KnownConfiguration(SiteConfiguration configuration, long changedAt) {
+public record ConfigurationSnapshot(SiteConfiguration configuration, long lastChangeRevision) {
   /** Checks the components. */
-  public KnownConfiguration {
+  public ConfigurationSnapshot {
     Objects.requireNonNull(configuration, "configuration is null");
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/SiteStore.java
@@ -7,7 +7,7 @@
 /**
  * What lasts: the operators' configuration, the upstreams' entries, and the hosts' entries.
  *
- * <p>Futures complete on the host's event loop, exceptionally with a {@link StoreFailure}.
+ * <p>Futures complete on the host's event loop, exceptionally with a {@link StoreException}.
  */
 public interface SiteStore {
   /**
@@ -20,11 +20,11 @@
   /**
    * Waits for a change of the configuration.
    *
-   * @param after the revision that is known
-   * @param waitMs longest time to wait, in milliseconds
+   * @param knownRevision the revision that is known
+   * @param maxWaitMs longest time to wait, in milliseconds
    * @return what has changed, possibly nothing
    */
-  CompletableFuture<ConfigurationChange> watchConfiguration(long after, long waitMs);
+  CompletableFuture<ConfigurationChange> watchConfiguration(long knownRevision, long maxWaitMs);
 
   /**
    * Reads all upstreams.
@@ -39,7 +39,7 @@
    * @param after the revision that is known
    * @return what has changed, possibly nothing
    */
-  CompletableFuture<UpstreamChange> changedUpstreams(long after);
+  CompletableFuture<UpstreamChange> readUpstreamChanges(long after);
 
   /**
    * Reads all hosts.
@@ -51,22 +51,22 @@
   /**
    * Writes this host's entry.
    *
-   * @param entry the entry; its incarnation is not used
+   * @param registration the entry; its incarnation is not used
    * @return the entry with the incarnation that the store gave it
    */
-  CompletableFuture<HostRegistration> register(HostRegistration entry);
+  CompletableFuture<HostRegistration> register(HostRegistration registration);
 
   /**
    * Counts the calls made so far.
    *
    * @return the count
    */
-  long calls();
+  long callCount();
 
   /**
    * Counts the calls that brought no result.
    *
    * @return the count
    */
-  long failedCalls();
+  long failedCallCount();
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/StoreFailure.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/StoreException.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /** A call of the store that brought no result. Immutable. */
-public final class StoreFailure extends RuntimeException {
+public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   /** What is known of the call. */
   public enum Kind {
     /** Nothing was done. */
-    NOT_DONE,
+    NOT_APPLIED,
     /** It may have been done. */
     UNKNOWN,
     /** The changes asked for are no longer kept; read everything again. */
-    HISTORY_GONE
+    HISTORY_UNAVAILABLE
   }
 
   private final Kind kind;
@@ -24,7 +24,7 @@
    * @param kind what is known of the call
    * @param message what happened, and what to do
    */
-  public StoreFailure(Kind kind, String message) {
+  public StoreException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = Objects.requireNonNull(kind, "kind is null");
   }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamChange.java
@@ -8,13 +8,13 @@
  * What the store says of upstreams. Immutable and thread-safe.
  *
  * @param revision the store's revision that this brings up to
- * @param complete whether this is everything, so that what isn't named isn't there
- * @param entries entries by identity; empty ones name no upstream
+ * @param fullSnapshot whether this is everything, so that what isn't named isn't there
+ * @param registrations entries by identity; empty ones name no upstream
  */
 public record UpstreamChange(
-    long revision, boolean complete, Map<String, Optional<UpstreamRegistration>> entries) {
+    long revision, boolean fullSnapshot, Map<String, Optional<UpstreamRegistration>> registrations) {
   /** Copies the components. */
   public UpstreamChange {
-    entries = Map.copyOf(entries);
+    registrations = Map.copyOf(registrations);
   }
 }
--- a/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamWire.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/site/UpstreamHeaders.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 
 /** Reads and writes the header fields that callers, hosts and upstreams exchange. Thread-safe. */
-public interface UpstreamWire {
+public interface UpstreamHeaders {
   /**
    * Returns the id of a request or of the request that an answer belongs to.
    *
@@ -21,7 +21,7 @@
    * @param headers the answer's header fields
    * @param requestId the request's id
    */
-  void identify(HttpHeaders headers, String requestId);
+  void setRequestId(HttpHeaders headers, String requestId);
 
   /**
    * Returns how long the caller waits.
@@ -38,7 +38,7 @@
    * @param deadlineMs time left, in milliseconds
    * @param upstream identity of the upstream that is meant
    */
-  void address(HttpHeaders headers, long deadlineMs, String upstream);
+  void addUpstreamHeaders(HttpHeaders headers, long deadlineMs, String upstream);
 
   /**
    * Tells whether an upstream says that it did not run the request.
@@ -47,7 +47,7 @@
    * @param headers the answer's header fields
    * @return true when the request did not run and never will
    */
-  boolean notRun(int status, HttpHeaders headers);
+  boolean reportsNotRun(int status, HttpHeaders headers);
 
   /**
    * Tells whether an answer is the one to a probe.
@@ -56,7 +56,7 @@
    * @param upstream identity of the upstream that was probed
    * @return true when that upstream answers a probe
    */
-  boolean answersProbe(HttpHeaders headers, String upstream);
+  boolean isProbeResponse(HttpHeaders headers, String upstream);
 
   /**
    * Tells whether an answer bears the upstream's signature.
@@ -64,7 +64,7 @@
    * @param headers the answer's header fields
    * @return true when it does
    */
-  boolean signed(HttpHeaders headers);
+  boolean isSigned(HttpHeaders headers);
 
   /**
    * Returns what an upstream says of its load.
@@ -72,5 +72,5 @@
    * @param headers the answer's header fields
    * @return the figures
    */
-  Optional<ReportedLoad> load(HttpHeaders headers);
+  Optional<ReportedLoad> reportedLoad(HttpHeaders headers);
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/callers/CallerConnectionTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/callers/CallerConnectionTest.java
@@ -19,23 +19,23 @@
 class CallerConnectionTest {
   private static final CallerLimits LIMITS = new CallerLimits(500, 100, 3_000, 15_000);
 
-  private final Map<String, Consumer<CallerAnswer>> open = new HashMap<>();
+  private final Map<String, Consumer<CallerResponse>> pendingResponses = new HashMap<>();
   private final List<CallerRequest> requests = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final CallersPort port =
-      new CallersPort(channel.eventLoop(), List.of(this::take), () -> LIMITS, () -> 0L);
+  private final CallerListener listener =
+      new CallerListener(channel.eventLoop(), List.of(this::handle), () -> LIMITS, () -> 0L);
 
   CallerConnectionTest() {
     channel
         .pipeline()
         .addLast(new HttpServerCodec(4_096, LIMITS.maxHeaderBytes(), 4_096))
-        .addLast(new CallerConnection(port, channel, LIMITS));
+        .addLast(new CallerConnection(listener, channel, LIMITS));
   }
 
-  private Optional<Filter.Running> take(CallerRequest r, Consumer<CallerAnswer> answer) {
+  private Optional<RequestHandler.Cancellable> handle(CallerRequest r, Consumer<CallerResponse> responseConsumer) {
     requests.add(r);
-    open.put(r.target(), answer);
+    pendingResponses.put(r.target(), responseConsumer);
     return Optional.of(() -> cancelled.add(r.target()));
   }
 
@@ -43,7 +43,7 @@
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
   }
 
-  private String received() {
+  private String readResponses() {
     var all = new StringBuilder();
     for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
       all.append(b.toString(StandardCharsets.UTF_8));
@@ -56,25 +56,25 @@
   }
 
   @Test
-  void shouldRunPipelinedRequestsTogetherAndAnswerThemInOrder() {
+  void shouldRespondInRequestOrderWhenPipelinedRequestsRunConcurrently() {
     send(get("/1") + get("/2"));
     assertThat(requests).extracting(CallerRequest::target).containsExactly("/1", "/2");
-    open.get("/2").accept(CallerAnswer.json(200, "\"two\""));
-    assertThat(received()).isEmpty();
-    open.get("/1").accept(CallerAnswer.json(200, "\"one\""));
-    String text = received();
+    pendingResponses.get("/2").accept(CallerResponse.json(200, "\"two\""));
+    assertThat(readResponses()).isEmpty();
+    pendingResponses.get("/1").accept(CallerResponse.json(200, "\"one\""));
+    String text = readResponses();
     assertThat(text.indexOf("one")).isPositive().isLessThan(text.indexOf("two"));
   }
 
   @Test
-  void shouldCancelWhatRunsWhenTheCallerCloses() {
+  void shouldCancelRunningRequestsWhenTheCallerCloses() {
     send(get("/1") + get("/2"));
     channel.close();
     assertThat(cancelled).containsExactlyInAnyOrder("/1", "/2");
   }
 
   @Test
-  void shouldPassABodyOnOnlyWhenItIsWhole() {
+  void shouldHandleARequestOnlyWhenItsBodyIsComplete() {
     send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\n\r\nabc");
     assertThat(requests).isEmpty();
     send("def");
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void shouldReadAChunkedBodyAsOne() {
+  void shouldJoinTheChunksWhenABodyIsChunked() {
     send(
         "POST /1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n");
     send("0\r\n\r\n");
@@ -91,31 +91,31 @@
   }
 
   @Test
-  void shouldRefuseABodyWhenItIsTooLarge() {
+  void shouldRejectARequestWhenItsBodyIsTooLarge() {
     send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 101\r\n\r\n");
-    assertThat(received()).startsWith("HTTP/1.1 413").contains("connection: close");
+    assertThat(readResponses()).startsWith("HTTP/1.1 413").contains("connection: close");
     assertThat(requests).isEmpty();
   }
 
   @Test
-  void shouldRefuseHeadersWhenTheyAreTooLarge() {
+  void shouldRejectARequestWhenItsHeadersAreTooLarge() {
     send("GET /1 HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(600) + "\r\n\r\n");
-    assertThat(received()).startsWith("HTTP/1.1 431");
+    assertThat(readResponses()).startsWith("HTTP/1.1 431");
   }
 
   @Test
-  void shouldRefuseWhatIsNoRequest() {
+  void shouldRejectARequestWhenItIsMalformed() {
     send("nonsense\r\n\r\n");
-    assertThat(received()).startsWith("HTTP/1.1 400");
+    assertThat(readResponses()).startsWith("HTTP/1.1 400");
     assertThat(requests).isEmpty();
   }
 
   @Test
-  void shouldCloseAfterTheAnswerAndDropWhatWasSentBehindWhenThePortIsClosing() {
+  void shouldCloseAfterTheResponseAndCancelLaterRequestsWhenTheListenerIsDraining() {
     send(get("/1") + get("/2"));
-    port.lastAnswers();
-    open.get("/1").accept(CallerAnswer.json(200, "1"));
-    assertThat(received()).contains("connection: close");
+    listener.startDraining();
+    pendingResponses.get("/1").accept(CallerResponse.json(200, "1"));
+    assertThat(readResponses()).contains("connection: close");
     assertThat(cancelled).containsExactly("/2");
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/ConfigurationControllerTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/ConfigurationControllerTest.java
@@ -4,8 +4,8 @@
 
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.site.ConfigurationChange;
-import dev.cactusstack.gateway.site.KnownConfiguration;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.SiteConfiguration;
 import java.io.OutputStream;
@@ -18,176 +18,176 @@
 import org.junit.jupiter.api.Test;
 
 class ConfigurationControllerTest {
-  private final VirtualLoop time = new VirtualLoop();
+  private final VirtualTimeLoop time = new VirtualTimeLoop();
   private final FakeStore store = new FakeStore();
-  private final List<KnownConfiguration> told = new ArrayList<>();
-  private final List<Long> asked = new ArrayList<>();
-  private boolean reader = true;
+  private final List<ConfigurationSnapshot> announced = new ArrayList<>();
+  private final List<Long> queriedRevisions = new ArrayList<>();
+  private boolean isReader = true;
   private final ConfigurationController controller =
       new ConfigurationController(
           time.loop(),
           time::nowMs,
           new EventLog(OutputStream.nullOutputStream()),
           store,
-          () -> reader);
+          () -> isReader);
 
   private static ConfigurationChange change(
       long revision, boolean complete, long version, Map<String, Boolean> evacuations) {
-    Optional<ConfigurationChange.Rules> rules =
+    Optional<ConfigurationChange.RoutingRules> rules =
         version == 0
             ? Optional.empty()
             : Optional.of(
-                new ConfigurationChange.Rules(version, List.of(), Map.of(), CallerLimits.DEFAULT));
+                new ConfigurationChange.RoutingRules(version, List.of(), Map.of(), CallerLimits.DEFAULT));
     return new ConfigurationChange(revision, revision, complete, rules, evacuations);
   }
 
   private long version() {
-    return controller.inForce().orElseThrow().version();
+    return controller.activeConfiguration().orElseThrow().version();
   }
 
   @BeforeEach
   void start() {
-    controller.start(() -> {}, told::add);
+    controller.start(() -> {}, announced::add);
   }
 
   @Test
-  void shouldWatchFromWhatItReadWhenItHasReadAll() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    assertThat(store.watchedAfter).containsExactly(10L);
-    store.watches.get(0).complete(change(12, false, 3, Map.of()));
+  void shouldWatchFromTheRevisionReadWhenTheFirstReadSucceeds() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    assertThat(store.watchedRevisions).containsExactly(10L);
+    store.configurationWatches.get(0).complete(change(12, false, 3, Map.of()));
     assertThat(version()).isEqualTo(3);
-    assertThat(store.watchedAfter).containsExactly(10L, 12L);
+    assertThat(store.watchedRevisions).containsExactly(10L, 12L);
   }
 
   @Test
-  void shouldReadAllAgainWhenTheWatchWasLost() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    store.watches.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.UNKNOWN));
-    assertThat(store.reads).hasSize(2);
-    store.reads.get(1).complete(change(20, true, 4, Map.of("dc", true)));
+  void shouldRereadAllWhenTheWatchFails() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    store.configurationWatches.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.UNKNOWN));
+    assertThat(store.configurationReads).hasSize(2);
+    store.configurationReads.get(1).complete(change(20, true, 4, Map.of("dc", true)));
     assertThat(version()).isEqualTo(4);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("dc");
-    assertThat(store.watchedAfter).containsExactly(10L, 20L);
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("dc");
+    assertThat(store.watchedRevisions).containsExactly(10L, 20L);
   }
 
   @Test
-  void shouldReadAllAgainWhenTheHistoryIsGone() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of("dc", true)));
-    store.watches.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.HISTORY_GONE));
-    store.reads.get(1).complete(change(30, true, 1, Map.of()));
-    assertThat(controller.inForce().orElseThrow().evacuated()).isEmpty();
+  void shouldRereadAllWhenTheHistoryIsUnavailable() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of("dc", true)));
+    store.configurationWatches.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.HISTORY_UNAVAILABLE));
+    store.configurationReads.get(1).complete(change(30, true, 1, Map.of()));
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).isEmpty();
   }
 
   @Test
-  void shouldNeverGoBackWhenAnOlderAnswerComesLate() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
+  void shouldNotRevertWhenAnOlderReadCompletesLate() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    controller.onRevisionAnnounced(15, queriedRevisions::add);
     time.run(400);
-    store.watches.get(0).complete(change(20, false, 5, Map.of()));
-    store.reads.get(1).complete(change(16, true, 2, Map.of("dc", true)));
+    store.configurationWatches.get(0).complete(change(20, false, 5, Map.of()));
+    store.configurationReads.get(1).complete(change(16, true, 2, Map.of("dc", true)));
     assertThat(version()).isEqualTo(5);
-    assertThat(controller.inForce().orElseThrow().evacuated()).isEmpty();
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).isEmpty();
   }
 
   @Test
-  void shouldReadWhenOthersKnowOfAChangeThatTheWatchDoesNotTell() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
+  void shouldReadTheStoreWhenTheWatchMissesAnAnnouncedChange() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    controller.onRevisionAnnounced(15, queriedRevisions::add);
     time.run(100);
-    assertThat(store.reads).hasSize(1);
+    assertThat(store.configurationReads).hasSize(1);
     time.run(300);
-    assertThat(store.reads).hasSize(2);
-    store.reads.get(1).complete(change(15, true, 2, Map.of()));
+    assertThat(store.configurationReads).hasSize(2);
+    store.configurationReads.get(1).complete(change(15, true, 2, Map.of()));
     assertThat(version()).isEqualTo(2);
   }
 
   @Test
-  void shouldKeepAskingWithPausesWhenTheStoreIsAway() {
+  void shouldRetryWithDelaysWhenTheStoreIsUnavailable() {
     for (int i = 0; i < 3; i++) {
-      store.reads.get(i).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
-      assertThat(store.reads).hasSize(i + 1);
+      store.configurationReads.get(i).completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
+      assertThat(store.configurationReads).hasSize(i + 1);
       time.run(300);
-      assertThat(store.reads).hasSize(i + 2);
+      assertThat(store.configurationReads).hasSize(i + 2);
     }
-    assertThat(controller.failing()).isTrue();
-    store.reads.get(3).complete(change(9, true, 1, Map.of()));
-    assertThat(controller.failing()).isFalse();
+    assertThat(controller.storeFailing()).isTrue();
+    store.configurationReads.get(3).complete(change(9, true, 1, Map.of()));
+    assertThat(controller.storeFailing()).isFalse();
   }
 
   @Test
-  void shouldKnowOfAnEvacuationWhenItIsOlderThanTheFirstConfiguration() {
-    store.reads.get(0).complete(change(5, true, 0, Map.of("dc", true)));
-    assertThat(controller.inForce()).isEmpty();
-    store.watches.get(0).complete(change(8, false, 1, Map.of()));
-    store.reads.get(1).complete(change(8, true, 1, Map.of("dc", true)));
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("dc");
+  void shouldApplyAnEvacuationWhenItIsOlderThanTheFirstConfiguration() {
+    store.configurationReads.get(0).complete(change(5, true, 0, Map.of("dc", true)));
+    assertThat(controller.activeConfiguration()).isEmpty();
+    store.configurationWatches.get(0).complete(change(8, false, 1, Map.of()));
+    store.configurationReads.get(1).complete(change(8, true, 1, Map.of("dc", true)));
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("dc");
   }
 
-  private static KnownConfiguration known(long revision, long version, String... evacuated) {
-    var c =
+  private static ConfigurationSnapshot snapshot(long revision, long version, String... evacuated) {
+    var configuration =
         new SiteConfiguration(
             revision, version, List.of(), Map.of(), CallerLimits.DEFAULT, Set.of(evacuated));
-    return new KnownConfiguration(c, revision);
+    return new ConfigurationSnapshot(configuration, revision);
   }
 
   @Test
-  void shouldNotWatchTheStoreWhenOthersReadIt() {
-    reader = false;
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
+  void shouldNotWatchTheStoreWhenItIsNotAReader() {
+    isReader = false;
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
     assertThat(version()).isEqualTo(1);
-    assertThat(store.watches).isEmpty();
+    assertThat(store.configurationWatches).isEmpty();
   }
 
   @Test
-  void shouldReadAllAndWatchWhenItBecomesAReader() {
-    reader = false;
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    reader = true;
-    controller.roleMayHaveChanged();
-    controller.roleMayHaveChanged();
-    assertThat(store.reads).hasSize(2);
-    store.reads.get(1).complete(change(14, true, 2, Map.of()));
+  void shouldRereadAllAndWatchWhenItBecomesAReader() {
+    isReader = false;
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    isReader = true;
+    controller.updateReaderRole();
+    controller.updateReaderRole();
+    assertThat(store.configurationReads).hasSize(2);
+    store.configurationReads.get(1).complete(change(14, true, 2, Map.of()));
     assertThat(version()).isEqualTo(2);
-    assertThat(store.watchedAfter).containsExactly(14L);
+    assertThat(store.watchedRevisions).containsExactly(14L);
   }
 
   @Test
-  void shouldTakeOverWhatAnotherHostHasInForceWhenItIsNewer() {
-    reader = false;
-    store.reads.get(0).complete(change(10, true, 1, Map.of("a", true)));
-    controller.told(known(12, 2, "b"));
+  void shouldApplyASnapshotOfAnotherHostWhenItIsNewer() {
+    isReader = false;
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of("a", true)));
+    controller.onSnapshot(snapshot(12, 2, "b"));
     assertThat(version()).isEqualTo(2);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("b");
-    controller.told(known(11, 1));
-    controller.told(known(13, 1));
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("b");
+    controller.onSnapshot(snapshot(11, 1));
+    controller.onSnapshot(snapshot(13, 1));
     assertThat(version()).isEqualTo(2);
-    assertThat(controller.inForce().orElseThrow().evacuated()).containsExactly("b");
+    assertThat(controller.activeConfiguration().orElseThrow().evacuated()).containsExactly("b");
   }
 
   @Test
-  void shouldStartFromAnotherHostWhenTheStoreIsAway() {
-    store.reads.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
-    controller.told(known(12, 2));
+  void shouldApplyASnapshotOfAnotherHostWhenTheStoreIsUnavailable() {
+    store.configurationReads.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
+    controller.onSnapshot(snapshot(12, 2));
     assertThat(version()).isEqualTo(2);
   }
 
   @Test
-  void shouldAskTheHostThatKnowsOfAChangeBeforeTheStore() {
-    reader = false;
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    controller.heardOf(15, asked::add);
-    assertThat(asked).containsExactly(10L);
-    controller.told(known(15, 2));
+  void shouldQueryTheAnnouncingHostBeforeTheStoreWhenAChangeIsAnnounced() {
+    isReader = false;
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    controller.onRevisionAnnounced(15, queriedRevisions::add);
+    assertThat(queriedRevisions).containsExactly(10L);
+    controller.onSnapshot(snapshot(15, 2));
     time.run(1_000);
-    assertThat(store.reads).hasSize(1);
+    assertThat(store.configurationReads).hasSize(1);
   }
 
   @Test
-  void shouldTellOthersOfAChangeButNotOfWhatItReadAtItsStart() {
-    store.reads.get(0).complete(change(10, true, 1, Map.of()));
-    assertThat(told).isEmpty();
-    store.watches.get(0).complete(change(12, false, 3, Map.of()));
-    controller.told(known(14, 4));
-    assertThat(told).extracting(KnownConfiguration::changedAt).containsExactly(12L, 14L);
+  void shouldAnnounceLaterChangesButNotTheFirstReadWhenItHasStarted() {
+    store.configurationReads.get(0).complete(change(10, true, 1, Map.of()));
+    assertThat(announced).isEmpty();
+    store.configurationWatches.get(0).complete(change(12, false, 3, Map.of()));
+    controller.onSnapshot(snapshot(14, 4));
+    assertThat(announced).extracting(ConfigurationSnapshot::lastChangeRevision).containsExactly(12L, 14L);
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/FakeStore.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.gateway.site.ConfigurationChange;
 import dev.cactusstack.gateway.site.SiteStore;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.site.HostRegistration;
 import java.util.ArrayList;
@@ -11,17 +11,17 @@
 
 /** A store whose answers a test gives one by one. */
 final class FakeStore implements SiteStore {
-  final List<CompletableFuture<ConfigurationChange>> reads = new ArrayList<>();
-  final List<CompletableFuture<ConfigurationChange>> watches = new ArrayList<>();
-  final List<Long> watchedAfter = new ArrayList<>();
+  final List<CompletableFuture<ConfigurationChange>> configurationReads = new ArrayList<>();
+  final List<CompletableFuture<ConfigurationChange>> configurationWatches = new ArrayList<>();
+  final List<Long> watchedRevisions = new ArrayList<>();
   final List<CompletableFuture<UpstreamChange>> upstreamReads = new ArrayList<>();
-  final List<Long> upstreamsAfter = new ArrayList<>();
+  final List<Long> upstreamReadRevisions = new ArrayList<>();
 
-  static StoreFailure failure(StoreFailure.Kind kind) {
-    return new StoreFailure(kind, "test");
+  static StoreException failure(StoreException.Kind kind) {
+    return new StoreException(kind, "test");
   }
 
-  private static <T> CompletableFuture<T> open(List<CompletableFuture<T>> calls) {
+  private static <T> CompletableFuture<T> addPending(List<CompletableFuture<T>> calls) {
     var call = new CompletableFuture<T>();
     calls.add(call);
     return call;
@@ -29,25 +29,25 @@
 
   @Override
   public CompletableFuture<ConfigurationChange> readConfiguration() {
-    return open(reads);
+    return addPending(configurationReads);
   }
 
   @Override
-  public CompletableFuture<ConfigurationChange> watchConfiguration(long after, long waitMs) {
-    watchedAfter.add(after);
-    return open(watches);
+  public CompletableFuture<ConfigurationChange> watchConfiguration(long knownRevision, long maxWaitMs) {
+    watchedRevisions.add(knownRevision);
+    return addPending(configurationWatches);
   }
 
   @Override
   public CompletableFuture<UpstreamChange> readUpstreams() {
-    upstreamsAfter.add(-1L);
-    return open(upstreamReads);
+    upstreamReadRevisions.add(-1L);
+    return addPending(upstreamReads);
   }
 
   @Override
-  public CompletableFuture<UpstreamChange> changedUpstreams(long after) {
-    upstreamsAfter.add(after);
-    return open(upstreamReads);
+  public CompletableFuture<UpstreamChange> readUpstreamChanges(long after) {
+    upstreamReadRevisions.add(after);
+    return addPending(upstreamReads);
   }
 
   @Override
@@ -56,17 +56,17 @@
   }
 
   @Override
-  public CompletableFuture<HostRegistration> register(HostRegistration entry) {
+  public CompletableFuture<HostRegistration> register(HostRegistration registration) {
     return new CompletableFuture<>();
   }
 
   @Override
-  public long calls() {
-    return reads.size() + watches.size() + upstreamReads.size();
+  public long callCount() {
+    return configurationReads.size() + configurationWatches.size() + upstreamReads.size();
   }
 
   @Override
-  public long failedCalls() {
+  public long failedCallCount() {
     return 0;
   }
 }
