--- a/gateway/src/test/java/dev/cactusstack/gateway/control/StoreAwayPlacingTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/PlacementDuringStoreOutageTest.java
@@ -6,16 +6,16 @@
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
-import dev.cactusstack.gateway.net.ClientLimits;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.scheduling.Link;
 import dev.cactusstack.gateway.scheduling.LinkMessage;
-import dev.cactusstack.gateway.scheduling.Placement;
-import dev.cactusstack.gateway.scheduling.Prober;
-import dev.cactusstack.gateway.scheduling.Schedulers;
-import dev.cactusstack.gateway.site.StoreFailure;
-import dev.cactusstack.gateway.site.UpstreamWire;
+import dev.cactusstack.gateway.scheduling.PlacementClient;
+import dev.cactusstack.gateway.scheduling.UpstreamProber;
+import dev.cactusstack.gateway.scheduling.LocalSchedulers;
+import dev.cactusstack.gateway.site.StoreException;
+import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.Address;
 import java.io.ByteArrayOutputStream;
 import java.lang.reflect.Proxy;
@@ -26,36 +26,36 @@
 import org.junit.jupiter.api.Test;
 
 /** What a host decides for others while it has not read the upstreams and the store is away. */
-class StoreAwayPlacingTest {
+class PlacementDuringStoreOutageTest {
   private static final Address OTHER = new Address("127.0.0.1", 9);
 
-  private final VirtualLoop time = new VirtualLoop();
+  private final VirtualTimeLoop time = new VirtualTimeLoop();
   private final FakeStore store = new FakeStore();
   private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
   private final EventLog log = new EventLog(lines);
   private final PeerTable peers = new PeerTable("self", 3_500, new Random(1));
   private final UpstreamsController upstreams =
       new UpstreamsController(time.loop(), time::nowMs, log, store, Optional::empty);
-  private final Schedulers schedulers =
-      new Schedulers(
+  private final LocalSchedulers schedulers =
+      new LocalSchedulers(
           time.loop(),
           time::nowMs,
           log,
           new SchedulerSettings(12, 1, 12, 0.45, 1.5, 5),
           upstreams,
-          new Prober(
-              new HttpClient(time.loop(), new ClientLimits(100, 100, false, 1_000), time::nowMs),
+          new UpstreamProber(
+              new HttpClient(time.loop(), new HttpClientSettings(100, 100, false, 1_000), time::nowMs),
               noWire()),
           () -> peers.anotherHostReachesStore(time.nowMs()));
-  private final Placement placement =
-      new Placement(
+  private final PlacementClient placement =
+      new PlacementClient(
           time.loop(), time::nowMs, log, new Link(time.loop(), log), peers, schedulers, "self", 0);
 
-  private static UpstreamWire noWire() {
-    return (UpstreamWire)
+  private static UpstreamHeaders noWire() {
+    return (UpstreamHeaders)
         Proxy.newProxyInstance(
-            UpstreamWire.class.getClassLoader(),
-            new Class<?>[] {UpstreamWire.class},
+            UpstreamHeaders.class.getClassLoader(),
+            new Class<?>[] {UpstreamHeaders.class},
             (proxy, method, args) -> {
               throw new AssertionError("nothing is sent here");
             });
@@ -66,8 +66,8 @@
     var ask =
         new PlacementRequest(
             new PlacementKey(7, 1), "dc", "r", 1, 300, 300, 1_000, 0, false, Set.of());
-    placement.received(new LinkMessage.Asked("s", ask), OTHER);
-    store.upstreamReads.get(0).completeExceptionally(FakeStore.failure(StoreFailure.Kind.UNKNOWN));
+    placement.onMessage(new LinkMessage.RequestSubmitted("s", ask), OTHER);
+    store.upstreamReads.get(0).completeExceptionally(FakeStore.failure(StoreException.Kind.UNKNOWN));
     time.run(200);
     log.flush();
     assertThat(lines.toString(StandardCharsets.UTF_8)).doesNotContain("outcome=turned-away");
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/UpstreamsControllerTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.gateway.observe.EventLog;
-import dev.cactusstack.gateway.site.StoreFailure;
+import dev.cactusstack.gateway.site.StoreException;
 import dev.cactusstack.gateway.site.UpstreamChange;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 class UpstreamsControllerTest {
-  private final VirtualLoop time = new VirtualLoop();
+  private final VirtualTimeLoop time = new VirtualTimeLoop();
   private final FakeStore store = new FakeStore();
   private Set<String> evacuated = Set.of();
   private final UpstreamsController controller =
@@ -31,64 +31,64 @@
               Optional.of(
                   new SiteConfiguration(
                       1, 1, List.of(), Map.of(), CallerLimits.DEFAULT, evacuated)));
-  private int ran;
+  private int taskRuns;
 
   private static UpstreamRegistration upstream(
-      String id, boolean leaving, long coldForMs, long born) {
+      String id, boolean leaving, long warmupMs, long startedAtMs) {
     return new UpstreamRegistration(
-        id, "s", new Address("127.0.0.1", 80), "dc", 4, leaving, coldForMs, born);
+        id, "s", new Address("127.0.0.1", 80), "dc", 4, leaving, warmupMs, startedAtMs);
   }
 
   private static UpstreamChange change(
-      long revision, boolean complete, UpstreamRegistration... entries) {
-    Map<String, Optional<UpstreamRegistration>> map = new HashMap<>();
-    for (UpstreamRegistration e : entries) {
-      map.put(e.id(), Optional.of(e));
+      long revision, boolean complete, UpstreamRegistration... registrations) {
+    Map<String, Optional<UpstreamRegistration>> registrationsById = new HashMap<>();
+    for (UpstreamRegistration registration : registrations) {
+      registrationsById.put(registration.id(), Optional.of(registration));
     }
-    return new UpstreamChange(revision, complete, map);
+    return new UpstreamChange(revision, complete, registrationsById);
   }
 
-  private static UpstreamChange gone(long revision, String id) {
+  private static UpstreamChange removal(long revision, String id) {
     return new UpstreamChange(revision, false, Map.of(id, Optional.empty()));
   }
 
-  private List<String> usable() {
-    return controller.usable("s").stream().map(UpstreamRegistration::id).sorted().toList();
+  private List<String> usableIds() {
+    return controller.usableUpstreams("s").stream().map(UpstreamRegistration::id).sorted().toList();
   }
 
   /** Reads as long as this host is in use. */
-  private void use() {
-    controller.whenFresh(() -> ran++);
+  private void runTask() {
+    controller.runWhenFresh(() -> taskRuns++);
   }
 
-  private void answer(int call, UpstreamChange c) {
+  private void completeRead(int call, UpstreamChange c) {
     store.upstreamReads.get(call).complete(c);
   }
 
   @Test
-  void shouldRunTheTaskOnceTheEntriesAreRead() {
-    use();
-    assertThat(ran).isZero();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
-    assertThat(ran).isEqualTo(1);
-    assertThat(usable()).containsExactly("a");
+  void shouldRunTheTaskWhenTheRegistrationsAreRead() {
+    runTask();
+    assertThat(taskRuns).isZero();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
+    assertThat(taskRuns).isEqualTo(1);
+    assertThat(usableIds()).containsExactly("a");
   }
 
   @Test
-  void shouldRunTheTaskAnywayWhenTheStoreDoesNotAnswer() {
-    use();
+  void shouldRunTheTaskAfterTheMaximumWaitWhenTheStoreDoesNotRespond() {
+    runTask();
     time.run(200);
-    assertThat(ran).isEqualTo(1);
+    assertThat(taskRuns).isEqualTo(1);
   }
 
   @Test
-  void shouldReadOnWhileInUseAndStopWhenNot() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
+  void shouldStopPollingWhenNoLongerInUse() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
     for (int i = 1; i <= 5; i++) {
       time.run(710);
       assertThat(store.upstreamReads).hasSize(i + 1);
-      answer(i, change(10 + i, false));
+      completeRead(i, change(10 + i, false));
     }
     time.run(5_000);
     int calls = store.upstreamReads.size();
@@ -97,81 +97,81 @@
   }
 
   @Test
-  void shouldUseNoUpstreamWhenItLeavesOrItsDataCentreIsTakenOut() {
-    use();
-    answer(0, change(10, true, upstream("a", true, 0, 1), upstream("b", false, 0, 1)));
-    assertThat(usable()).containsExactly("b");
+  void shouldExcludeAnUpstreamWhenItIsLeavingOrItsDataCentreIsEvacuated() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", true, 0, 1), upstream("b", false, 0, 1)));
+    assertThat(usableIds()).containsExactly("b");
     evacuated = Set.of("dc");
-    assertThat(usable()).isEmpty();
+    assertThat(usableIds()).isEmpty();
   }
 
   @Test
-  void shouldDropAnUpstreamAtOnceWhenItsEntryIsRemoved() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
+  void shouldRemoveAnUpstreamImmediatelyWhenItsRegistrationIsRemoved() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
     time.run(710);
-    answer(1, gone(11, "a"));
-    assertThat(usable()).isEmpty();
+    completeRead(1, removal(11, "a"));
+    assertThat(usableIds()).isEmpty();
   }
 
   @Test
-  void shouldKeepAnUpstreamForAWhileWhenItsEntryLapsedWithTheStore() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
+  void shouldRetainAnUpstreamBrieflyWhenItsRegistrationExpiredDuringAnOutage() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
     time.run(710);
-    store.upstreamReads.get(1).completeExceptionally(FakeStore.failure(StoreFailure.Kind.NOT_DONE));
+    store.upstreamReads.get(1).completeExceptionally(FakeStore.failure(StoreException.Kind.NOT_APPLIED));
     time.run(710);
-    answer(2, gone(11, "a"));
-    assertThat(usable()).containsExactly("a");
-    use();
+    completeRead(2, removal(11, "a"));
+    assertThat(usableIds()).containsExactly("a");
+    runTask();
     time.run(710);
     for (int i = 3; i < 7; i++) {
-      answer(i, change(11, false));
-      use();
+      completeRead(i, change(11, false));
+      runTask();
       time.run(710);
     }
-    assertThat(usable()).isEmpty();
+    assertThat(usableIds()).isEmpty();
   }
 
   @Test
-  void shouldIgnoreAnEntryWhenItIsOfAnEarlierStart() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 5)));
+  void shouldIgnoreARegistrationWhenItIsOfAnEarlierStart() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 5)));
     time.run(710);
-    answer(1, change(11, false, upstream("a", true, 0, 4)));
-    assertThat(usable()).containsExactly("a");
+    completeRead(1, change(11, false, upstream("a", true, 0, 4)));
+    assertThat(usableIds()).containsExactly("a");
   }
 
   @Test
-  void shouldCountTheColdTimeDownWhenTheEntryIsNotWrittenAgain() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 3_000, 1)));
+  void shouldDecreaseTheRemainingWarmupWhenTheRegistrationIsNotRenewed() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 3_000, 1)));
     time.run(1_000);
-    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isEqualTo(2_000);
+    assertThat(controller.usableUpstreams("s").get(0).warmupRemainingMs()).isEqualTo(2_000);
     time.run(2_500);
-    assertThat(controller.usable("s").get(0).warmupRemainingMs()).isZero();
+    assertThat(controller.usableUpstreams("s").get(0).warmupRemainingMs()).isZero();
   }
 
   @Test
-  void shouldBeStaleWhenTheStoreCouldNotBeReadLately() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
-    assertThat(controller.stale()).isFalse();
+  void shouldBeStaleWhenTheStoreHasNotBeenReadRecently() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
+    assertThat(controller.isStale()).isFalse();
     time.run(1_400);
-    assertThat(controller.stale()).isTrue();
+    assertThat(controller.isStale()).isTrue();
   }
 
   @Test
-  void shouldReadAllWhenTheHistoryIsGone() {
-    use();
-    answer(0, change(10, true, upstream("a", false, 0, 1)));
+  void shouldRereadAllWhenTheHistoryIsUnavailable() {
+    runTask();
+    completeRead(0, change(10, true, upstream("a", false, 0, 1)));
     time.run(710);
     store
         .upstreamReads
         .get(1)
-        .completeExceptionally(FakeStore.failure(StoreFailure.Kind.HISTORY_GONE));
-    assertThat(store.upstreamsAfter).containsExactly(-1L, 10L, -1L);
-    answer(2, change(20, true, upstream("b", false, 0, 1)));
-    assertThat(usable()).containsExactly("b");
+        .completeExceptionally(FakeStore.failure(StoreException.Kind.HISTORY_UNAVAILABLE));
+    assertThat(store.upstreamReadRevisions).containsExactly(-1L, 10L, -1L);
+    completeRead(2, change(20, true, upstream("b", false, 0, 1)));
+    assertThat(usableIds()).containsExactly("b");
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/control/VirtualLoop.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/control/VirtualTimeLoop.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.TimeUnit;
 
 /** An event loop in virtual time. */
-final class VirtualLoop {
+final class VirtualTimeLoop {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private long nowMs = 1_000_000;
 
-  VirtualLoop() {
+  VirtualTimeLoop() {
     channel.freezeTime();
   }
 
--- a/gateway/src/test/java/dev/cactusstack/gateway/net/ServerConnectionTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/net/ServerConnectionTest.java
@@ -16,20 +16,20 @@
 import org.junit.jupiter.api.Test;
 
 class ServerConnectionTest {
-  private static final ClientLimits LIMITS = new ClientLimits(100, 8_000, false, 100);
+  private static final HttpClientSettings SETTINGS = new HttpClientSettings(100, 8_000, false, 100);
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final HttpClient client = new HttpClient(channel.eventLoop(), LIMITS, () -> 0L);
-  private final ServerConnection connection = new ServerConnection(client, "pool", LIMITS);
-  private final List<Reply> replies = new ArrayList<>();
+  private final HttpClient client = new HttpClient(channel.eventLoop(), SETTINGS, () -> 0L);
+  private final ServerConnection connection = new ServerConnection(client, "pool", SETTINGS);
+  private final List<ExchangeResult> results = new ArrayList<>();
 
   ServerConnectionTest() {
     channel.pipeline().addLast(new HttpClientCodec()).addLast(connection);
   }
 
-  private Exchange run(String id) {
+  private Exchange sendRequest(String id) {
     var request =
-        new Outgoing(
+        new OutgoingRequest(
             "pool",
             new Address("127.0.0.1", 80),
             HttpMethod.GET,
@@ -38,19 +38,19 @@
             new byte[0],
             h -> id.equals(h.get("id")),
             Long.MAX_VALUE);
-    var e = new Exchange(request, replies::add);
-    connection.run(e);
+    var exchange = new Exchange(request, results::add);
+    connection.run(exchange);
     for (ByteBuf b = channel.readOutbound(); b != null; b = channel.readOutbound()) {
       b.release();
     }
-    return e;
+    return exchange;
   }
 
-  private void server(String text) {
+  private void receive(String text) {
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
   }
 
-  private static String answer(String id, String body) {
+  private static String response(String id, String body) {
     return "HTTP/1.1 200 OK\r\nid: "
         + id
         + "\r\nContent-Length: "
@@ -60,91 +60,91 @@
   }
 
   private String body(int i) {
-    return new String(((Reply.Answer) replies.get(i)).body(), StandardCharsets.UTF_8);
+    return new String(((ExchangeResult.Response) results.get(i)).body(), StandardCharsets.UTF_8);
   }
 
   @Test
-  void shouldKeepTheConnectionWhenAWholeAnswerCame() {
-    run("1");
-    server(answer("1", "abc"));
+  void shouldKeepTheConnectionWhenAResponseIsComplete() {
+    sendRequest("1");
+    receive(response("1", "abc"));
     assertThat(body(0)).isEqualTo("abc");
-    assertThat(client.hasIdle("pool")).isTrue();
+    assertThat(client.hasIdleConnection("pool")).isTrue();
   }
 
   @Test
-  void shouldSkipAnotherRequestsAnswerAndCloseWhenItComesLate() {
-    run("2");
-    server(answer("1", "old"));
-    assertThat(replies).isEmpty();
-    server(answer("2", "new"));
+  void shouldSkipAResponseAndCloseWhenItBelongsToAnotherRequest() {
+    sendRequest("2");
+    receive(response("1", "old"));
+    assertThat(results).isEmpty();
+    receive(response("2", "new"));
     assertThat(body(0)).isEqualTo("new");
     assertThat(channel.isActive()).isFalse();
-    assertThat(client.hasIdle("pool")).isFalse();
+    assertThat(client.hasIdleConnection("pool")).isFalse();
   }
 
   @Test
-  void shouldCloseWhenBytesComeThatNoRequestAskedFor() {
-    run("1");
-    server(answer("1", "abc"));
-    server(answer("1", "abc"));
-    assertThat(replies).hasSize(1);
+  void shouldCloseWhenUnsolicitedBytesArrive() {
+    sendRequest("1");
+    receive(response("1", "abc"));
+    receive(response("1", "abc"));
+    assertThat(results).hasSize(1);
     assertThat(channel.isActive()).isFalse();
   }
 
   @Test
-  void shouldBeBrokenWhenTheAnswerEndsEarly() {
-    run("1");
-    server("HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 10\r\n\r\nabc");
+  void shouldBeIncompleteWhenTheResponseIsTruncated() {
+    sendRequest("1");
+    receive("HTTP/1.1 200 OK\r\nid: 1\r\nContent-Length: 10\r\n\r\nabc");
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(results).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
-  void shouldBeBrokenWhenWhatComesIsNoAnswer() {
-    run("1");
-    server("garbage garbage\r\n\r\n");
+  void shouldBeIncompleteWhenTheResponseIsMalformed() {
+    sendRequest("1");
+    receive("garbage garbage\r\n\r\n");
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(results).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
-  void shouldTakeAnAnswerWithoutLengthWhenTheServerEndsTheConnection() {
-    run("1");
-    server("HTTP/1.1 200 OK\r\nid: 1\r\n\r\nabc");
-    assertThat(replies).isEmpty();
+  void shouldAcceptAResponseWithoutLengthWhenTheServerClosesTheConnection() {
+    sendRequest("1");
+    receive("HTTP/1.1 200 OK\r\nid: 1\r\n\r\nabc");
+    assertThat(results).isEmpty();
     channel.close();
     assertThat(body(0)).isEqualTo("abc");
   }
 
   @Test
-  void shouldBeBrokenWhenAnAnswerWithoutLengthIsReset() {
-    run("1");
-    server("HTTP/1.1 200 OK\r\nid: 1\r\n\r\nabc");
+  void shouldBeIncompleteWhenTheConnectionIsResetDuringAResponseWithoutLength() {
+    sendRequest("1");
+    receive("HTTP/1.1 200 OK\r\nid: 1\r\n\r\nabc");
     channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
     channel.close();
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+    assertThat(results).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 
   @Test
-  void shouldNotKeepTheConnectionWhenTheServerWillCloseIt() {
-    run("1");
-    server("HTTP/1.1 200 OK\r\nid: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    assertThat(replies).hasSize(1);
-    assertThat(client.hasIdle("pool")).isFalse();
+  void shouldNotKeepTheConnectionWhenTheServerAnnouncesToCloseIt() {
+    sendRequest("1");
+    receive("HTTP/1.1 200 OK\r\nid: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    assertThat(results).hasSize(1);
+    assertThat(client.hasIdleConnection("pool")).isFalse();
   }
 
   @Test
-  void shouldTellOneEndWhenTheExchangeWasAbandoned() {
-    Exchange e = run("1");
-    e.abandon();
+  void shouldCloseAndDeliverNoResultWhenTheExchangeIsAborted() {
+    Exchange e = sendRequest("1");
+    e.abort();
     assertThat(channel.isActive()).isFalse();
-    assertThat(replies).isEmpty();
+    assertThat(results).isEmpty();
   }
 
   @Test
-  void shouldBeBrokenWhenTheAnswerIsTooLarge() {
-    run("1");
-    server(answer("1", "x".repeat(101)));
-    assertThat(replies).singleElement().isInstanceOf(Reply.Broken.class);
+  void shouldBeIncompleteWhenTheResponseIsTooLarge() {
+    sendRequest("1");
+    receive(response("1", "x".repeat(101)));
+    assertThat(results).singleElement().isInstanceOf(ExchangeResult.Incomplete.class);
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/observe/FiguresTextTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/observe/PrometheusFormatTest.java
@@ -5,23 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class FiguresTextTest {
-  private final Figures figures = new Figures();
+class PrometheusFormatTest {
+  private final GatewayMetrics figures = new GatewayMetrics();
 
   private String text() {
-    return new String(FiguresText.of(figures), StandardCharsets.UTF_8);
+    return new String(PrometheusFormat.format(figures), StandardCharsets.UTF_8);
   }
 
   @Test
   void shouldWriteCountersAndHistogramsOfEachRoute() {
-    RouteFigures r = figures.route("search");
-    r.answered(90);
-    r.answered(7_000);
-    r.sent(3);
-    r.attemptEnded("answered");
-    r.refused("no-room");
-    r.repeat(false);
-    figures.total("cactusstack_store_calls", "Calls of the store", () -> 12);
+    RouteMetrics r = figures.route("search");
+    r.recordAnsweredRequest(90);
+    r.recordAnsweredRequest(7_000);
+    r.recordSentAttempt(3);
+    r.recordAttemptOutcome("answered");
+    r.recordRefusal("no-room");
+    r.recordRetryDecision(false);
+    figures.registerCounter("cactusstack_store_calls", "Calls of the store", () -> 12);
     assertThat(text())
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"0.1\"} 1")
         .contains("cactusstack_request_seconds_bucket{route=\"search\",le=\"+Inf\"} 2")
@@ -35,10 +35,10 @@
 
   @Test
   void shouldCountRoutesTogetherWhenThereAreTooMany() {
-    for (int i = 0; i < Figures.MOST_ROUTES + 50; i++) {
-      figures.route("r" + i).answered(1);
+    for (int i = 0; i < GatewayMetrics.MAX_ROUTES + 50; i++) {
+      figures.route("r" + i).recordAnsweredRequest(1);
     }
-    assertThat(figures.routes()).hasSize(Figures.MOST_ROUTES + 1);
+    assertThat(figures.routes()).hasSize(GatewayMetrics.MAX_ROUTES + 1);
     assertThat(text()).contains("cactusstack_request_seconds_count{route=\"other\"} 50");
   }
 }
--- a/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
+++ b/gateway/src/test/java/dev/cactusstack/gateway/scheduling/LinkCodecTest.java
@@ -10,7 +10,7 @@
 import dev.cactusstack.decisions.placing.PlacementKey;
 import dev.cactusstack.decisions.placing.PlacementRequest;
 import dev.cactusstack.decisions.placing.ReportedLoad;
-import dev.cactusstack.gateway.site.KnownConfiguration;
+import dev.cactusstack.gateway.site.ConfigurationSnapshot;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.site.CallerLimits;
 import dev.cactusstack.model.site.HostRegistration;
@@ -29,26 +29,26 @@
 import org.junit.jupiter.api.Test;
 
 class LinkCodecTest {
-  private static final Address A = new Address("10.0.0.1", 7_200);
+  private static final Address ADDRESS = new Address("10.0.0.1", 7_200);
   private static final PlacementKey KEY = new PlacementKey(-5, 1L << 40);
 
   private static final List<LinkMessage> MESSAGES =
       List.of(
-          new LinkMessage.Beat(
+          new LinkMessage.Gossip(
               77,
-              List.of(new HostRegistration("h", "dc", A, A, 600, 3)),
+              List.of(new HostRegistration("h", "dc", ADDRESS, ADDRESS, 600, 3)),
               List.of(
                   new HeartbeatState(-1, 9, 4, true, false, true),
                   new HeartbeatState(2, 1, 1, false, true, false))),
-          new LinkMessage.Asked(
+          new LinkMessage.RequestSubmitted(
               "s",
               new PlacementRequest(KEY, "dc", "r", 2, 300, 250, 900, 60_000, true, Set.of("u"))),
-          new LinkMessage.Decided(
+          new LinkMessage.DecisionMade(
               new PlacementDecision.Placed(
-                  KEY, new UpstreamRegistration("u", "s", A, "dc", 4, false, 0, 5))),
-          new LinkMessage.Decided(new PlacementDecision.Rejected(KEY, 40)),
-          new LinkMessage.Decided(new PlacementDecision.Queued(KEY)),
-          new LinkMessage.Ended(
+                  KEY, new UpstreamRegistration("u", "s", ADDRESS, "dc", 4, false, 0, 5))),
+          new LinkMessage.DecisionMade(new PlacementDecision.Rejected(KEY, 40)),
+          new LinkMessage.DecisionMade(new PlacementDecision.Queued(KEY)),
+          new LinkMessage.AttemptsEnded(
               "s",
               List.of(
                   new AttemptReport(
@@ -58,11 +58,11 @@
                       90,
                       Optional.of(new ReportedLoad(1, 2, 4, 700))),
                   new AttemptReport(KEY, "u", AttemptOutcome.UNUSED, 0, Optional.empty()))),
-          new LinkMessage.Withdrawn("s", KEY),
-          new LinkMessage.Unable(KEY),
-          new LinkMessage.RulesWanted(77),
-          new LinkMessage.Rules(
-              new KnownConfiguration(
+          new LinkMessage.RequestCancelled("s", KEY),
+          new LinkMessage.RequestDeclined(KEY),
+          new LinkMessage.ConfigurationQuery(77),
+          new LinkMessage.ConfigurationUpdate(
+              new ConfigurationSnapshot(
                   new SiteConfiguration(
                       80,
                       7,
@@ -83,19 +83,19 @@
                   79)));
 
   @Test
-  void shouldGiveTheSameMessageWhenItIsEncodedAndDecoded() throws IOException {
-    for (LinkMessage m : MESSAGES) {
-      assertThat(LinkCodec.decode(LinkCodec.encode(m))).isEqualTo(m);
+  void shouldReturnTheSameMessageWhenItIsEncodedAndDecoded() throws IOException {
+    for (LinkMessage message : MESSAGES) {
+      assertThat(LinkCodec.decode(LinkCodec.encode(message))).isEqualTo(message);
     }
   }
 
   @Test
-  void shouldFailWithAnIoExceptionWhenBytesAreCutOrChanged() {
+  void shouldThrowOnlyIoExceptionWhenBytesAreTruncatedOrChanged() {
     var random = new SplittableRandom(3);
-    for (LinkMessage m : MESSAGES) {
-      byte[] whole = LinkCodec.encode(m);
+    for (LinkMessage message : MESSAGES) {
+      byte[] encoded = LinkCodec.encode(message);
       for (int i = 0; i < 500; i++) {
-        byte[] bytes = Arrays.copyOf(whole, random.nextInt(whole.length + 1));
+        byte[] bytes = Arrays.copyOf(encoded, random.nextInt(encoded.length + 1));
         if (bytes.length > 0) {
           bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
         }
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void shouldRefuseAMessageWhenItIsOfAnotherVersion() {
+  void shouldRejectAMessageWhenItsVersionDiffers() {
     byte[] bytes = LinkCodec.encode(MESSAGES.get(7));
     bytes[0]++;
     assertThatThrownBy(() -> LinkCodec.decode(bytes)).isInstanceOf(IOException.class);
