--- a/ctl/src/main/java/dev/cactusstack/ctl/CtlMain.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/CtlMain.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.ctl;
 
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.Result;
 import java.io.IOException;
@@ -60,7 +60,7 @@
       end = parseAndRun(args, environment, out);
     } catch (OptionException e) {
       end = CommandEnd.invalid(String.valueOf(e.getMessage()), "see --help");
-    } catch (HttpFailure e) {
+    } catch (HttpException e) {
       end = unanswered(e);
     } catch (IOException | GeneralSecurityException e) {
       end = CommandEnd.invalid(String.valueOf(e.getMessage()), "check the file's name and content");
@@ -73,12 +73,12 @@
     return end.code().code();
   }
 
-  private static CommandEnd unanswered(HttpFailure e) {
+  private static CommandEnd unanswered(HttpException e) {
     return CommandEnd.failed(
         ExitCode.NOT_ACCEPTED_OR_UNKNOWN,
-        e.mayBeProcessed() ? "unknown" : "not-accepted",
+        e.mayHaveBeenProcessed() ? "unknown" : "not-accepted",
         String.valueOf(e.getMessage()),
-        e.mayBeProcessed()
+        e.mayHaveBeenProcessed()
             ? "repeat the command with --operation and the same id, or look at 'table show' first"
             : "nothing was changed; name other hosts with --operators");
   }
@@ -102,12 +102,12 @@
       return CommandEnd.invalid(f.problem().message(), f.problem().remedy());
     }
     Optional<SSLContext> tls = trust(options.certificate(o));
-    XnioWorker worker = Workers.daemon("ctl", 1);
+    XnioWorker worker = XnioWorkers.createDaemonWorker("ctl", 1);
     try {
       List<Address> addresses = hosts.fold(p -> List.<Address>of(), a -> a);
       var api =
           new OperatorsApi(
-              new HttpCaller(worker, tls),
+              new HttpClient(worker, tls),
               tls.isPresent(),
               addresses,
               Optional.ofNullable(environment.get(TOKEN_VARIABLE)));
--- a/ctl/src/main/java/dev/cactusstack/ctl/OperatorsApi.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/OperatorsApi.java
@@ -1,10 +1,10 @@
 package dev.cactusstack.ctl;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.cactusstack.http.HttpCall;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
-import dev.cactusstack.http.HttpReply;
+import dev.cactusstack.http.HttpRequest;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.HttpResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
 import java.net.URI;
@@ -21,7 +21,7 @@
   private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
   private static final Duration EDIT_TIMEOUT = Duration.ofSeconds(15);
 
-  private final HttpCaller caller;
+  private final HttpClient caller;
   private final String scheme;
   private final List<Address> hosts;
   private final Optional<String> token;
@@ -29,22 +29,22 @@
   /** An answer of an entry host. */
   record Answer(int status, JsonNode body) {}
 
-  OperatorsApi(HttpCaller caller, boolean tls, List<Address> hosts, Optional<String> token) {
+  OperatorsApi(HttpClient caller, boolean tls, List<Address> hosts, Optional<String> token) {
     this.caller = caller;
     this.scheme = tls ? "https://" : "http://";
     this.hosts = List.copyOf(hosts);
     this.token = token;
   }
 
-  /** Reads from the first host that answers. Throws {@link HttpFailure} when none does. */
+  /** Reads from the first host that answers. Throws {@link HttpException} when none does. */
   Answer get(String path) {
-    HttpFailure last = new HttpFailure(false, "no operators' address is given");
+    HttpException last = new HttpException(false, "no operators' address is given");
     for (Address a : hosts) {
       try {
-        return send(HttpCall.get(uri(a, path), READ_TIMEOUT));
-      } catch (HttpFailure e) {
+        return send(HttpRequest.get(uri(a, path), READ_TIMEOUT));
+      } catch (HttpException e) {
         // A read changes nothing, whether or not it was received.
-        last = new HttpFailure(false, String.valueOf(e.getMessage()));
+        last = new HttpException(false, String.valueOf(e.getMessage()));
       }
     }
     throw last;
@@ -53,20 +53,20 @@
   /** Reads from one host; nothing when it does not answer. */
   Optional<Answer> get(Address host, String path) {
     try {
-      return Optional.of(send(HttpCall.get(uri(host, path), READ_TIMEOUT)));
-    } catch (HttpFailure e) {
+      return Optional.of(send(HttpRequest.get(uri(host, path), READ_TIMEOUT)));
+    } catch (HttpException e) {
       return Optional.empty();
     }
   }
 
-  /** Changes something. Throws {@link HttpFailure} when no host answers. */
+  /** Changes something. Throws {@link HttpException} when no host answers. */
   Answer post(String path, JsonNode body) {
-    HttpFailure last = new HttpFailure(false, "no operators' address is given");
+    HttpException last = new HttpException(false, "no operators' address is given");
     for (Address a : hosts) {
       try {
-        return send(HttpCall.json("POST", uri(a, path), Json.bytes(body), EDIT_TIMEOUT));
-      } catch (HttpFailure e) {
-        if (e.mayBeProcessed()) {
+        return send(HttpRequest.json("POST", uri(a, path), Json.toBytes(body), EDIT_TIMEOUT));
+      } catch (HttpException e) {
+        if (e.mayHaveBeenProcessed()) {
           throw e;
         }
         last = e;
@@ -79,18 +79,18 @@
     return URI.create(scheme + a + path);
   }
 
-  private Answer send(HttpCall call) {
-    HttpCall signed = token.map(t -> call.withHeader("Authorization", "Bearer " + t)).orElse(call);
-    HttpReply reply;
+  private Answer send(HttpRequest call) {
+    HttpRequest signed = token.map(t -> call.withHeader("Authorization", "Bearer " + t)).orElse(call);
+    HttpResponse reply;
     try {
-      reply = caller.call(signed).join();
+      reply = caller.send(signed).join();
     } catch (CompletionException e) {
-      throw HttpFailure.of(e);
+      throw HttpException.from(e);
     }
     JsonNode body =
         Json.parse(reply.body())
             .orElseThrow(
-                () -> new HttpFailure(true, "the answer of " + call.uri() + " is not JSON"));
+                () -> new HttpException(true, "the answer of " + call.uri() + " is not JSON"));
     return new Answer(reply.status(), body);
   }
 }
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableCommands.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableCommands.java
@@ -55,7 +55,7 @@
             .map(
                 v -> {
                   ObjectNode n =
-                      Json.object().put("service", service).put("data_centre", dataCentre);
+                      Json.newObject().put("service", service).put("data_centre", dataCentre);
                   n.set("values", v);
                   options.ifVersion().ifPresent(i -> n.put("if_version", i));
                   return n;
@@ -63,14 +63,14 @@
     return edit.fold(
         p -> CommandEnd.invalid(p.message(), p.remedy()),
         n -> {
-          ObjectNode body = Json.object();
+          ObjectNode body = Json.newObject();
           body.putArray("edits").add(n);
           return post(body);
         });
   }
 
   private static Result<ObjectNode> values(List<String> assignments) {
-    ObjectNode values = Json.object();
+    ObjectNode values = Json.newObject();
     for (String a : assignments) {
       String[] parts = a.split("=", 2);
       Optional<RouteColumn> column = RouteColumn.ofLabel(parts[0]);
@@ -117,7 +117,7 @@
       return CommandEnd.done(
           List.of("outcome=accepted version=" + version + " note=\"the file changes nothing\""));
     }
-    ObjectNode body = Json.object();
+    ObjectNode body = Json.newObject();
     ArrayNode edits = body.putArray("edits");
     changed.forEach(r -> edits.add(r.edit()));
     options.ifVersion().ifPresent(v -> body.put("if_version", v));
@@ -135,7 +135,7 @@
       return CommandEnd.invalid(f.problem().message(), f.problem().remedy());
     }
     JsonNode body =
-        Json.object()
+        Json.newObject()
             .put("out", out)
             .put("force", options.force())
             .put("operation", options.operation());
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
@@ -48,7 +48,7 @@
               "the file's first line is not the header",
               "start from 'table show --format csv'; its header is " + String.join(",", header)));
     }
-    ArrayNode rows = Json.object().putArray("rows");
+    ArrayNode rows = Json.newObject().putArray("rows");
     for (int i = 1; i < lines.size(); i++) {
       String[] cells = lines.get(i).split(",", -1);
       if (cells.length != header.size()) {
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
@@ -56,7 +56,7 @@
 
   ObjectNode json() {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", key.service().value())
             .put("data_centre", key.dataCentre().value());
     values.forEach((c, v) -> n.put(c.label(), v));
@@ -66,7 +66,7 @@
   /** The row as an edit that replaces all values, if its version is still the same. */
   ObjectNode edit() {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", key.service().value())
             .put("data_centre", key.dataCentre().value())
             .put("if_version", version);
--- a/ctl/src/main/java/dev/cactusstack/ctl/WatchCommands.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/WatchCommands.java
@@ -74,7 +74,7 @@
       return fault.get();
     }
     var silent = new ArrayList<String>();
-    ArrayNode upstreams = Json.object().putArray("upstreams");
+    ArrayNode upstreams = Json.newObject().putArray("upstreams");
     for (JsonNode h : a.body().path("hosts")) {
       Optional<Answer> other =
           Address.parse(h.path("operators").asText())
--- a/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.retries.RetryBudget;
 import dev.cactusstack.host.observe.Metrics;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.RequestSettings;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -43,7 +43,7 @@
    * @param ticker the clock
    */
   public CallersServer(
-      CallersSettings callers,
+      CallerListenerSettings callers,
       RequestSettings requests,
       Supplier<RoutingView> view,
       ForwardToken token,
@@ -64,8 +64,8 @@
             pools,
             token,
             metrics,
-            new RetryBudget(requests.retryShare(), RETRY_RESERVE),
-            new RetryBudget(requests.hedgeShare(), HEDGE_RESERVE),
+            new RetryBudget(requests.retryRatio(), RETRY_RESERVE),
+            new RetryBudget(requests.hedgeRatio(), HEDGE_RESERVE),
             keyed,
             arrivals,
             new RemoteLoads(ticker),
@@ -76,13 +76,13 @@
     server = server(callers, buffers);
   }
 
-  private static HttpHandler chain(CallersSettings callers, DataPath path) {
+  private static HttpHandler chain(CallerListenerSettings callers, DataPath path) {
     HttpHandler service = new HttpContinueReadHandler(new ServiceFilter(path));
     HttpHandler entries = new EntriesFilter(callers, path.view(), path.random(), service);
     return new FramingFilter(callers, entries);
   }
 
-  private Undertow server(CallersSettings s, DefaultByteBufferPool buffers) {
+  private Undertow server(CallerListenerSettings s, DefaultByteBufferPool buffers) {
     return Undertow.builder()
         .addHttpListener(s.address().port(), s.address().ip())
         .setByteBufferPool(buffers)
--- a/host/src/main/java/dev/cactusstack/host/callers/EntriesFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntriesFilter.java
@@ -8,7 +8,7 @@
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.Network;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -28,13 +28,13 @@
 final class EntriesFilter implements HttpHandler {
   static final String PATH = "/.well-known/cactusstack/entries";
 
-  private final CallersSettings settings;
+  private final CallerListenerSettings settings;
   private final Supplier<RoutingView> view;
   private final Supplier<Random> random;
   private final HttpHandler next;
 
   EntriesFilter(
-      CallersSettings settings,
+      CallerListenerSettings settings,
       Supplier<RoutingView> view,
       Supplier<Random> random,
       HttpHandler next) {
@@ -92,7 +92,7 @@
   }
 
   private void answer(HttpServerExchange x, RoutingView v) {
-    ObjectNode body = Json.object();
+    ObjectNode body = Json.newObject();
     ArrayNode list = body.putArray("entries");
     for (Entry e : ordered(v, x.getSourceAddress().getAddress())) {
       list.addObject()
@@ -103,7 +103,7 @@
     long seconds = TimeUnit.MILLISECONDS.toSeconds(settings.entriesTtlMs());
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseHeaders().put(Headers.CACHE_CONTROL, "private, max-age=" + seconds);
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(body)));
   }
 
   /** The entries of the caller's data centre first; each group in random order. */
@@ -121,7 +121,7 @@
   private DataCentre nearest(RoutingView v, InetAddress caller) {
     return settings.networks().stream()
         .filter(n -> n.contains(caller.getAddress()))
-        .max((a, b) -> Integer.compare(a.prefixBits(), b.prefixBits()))
+        .max((a, b) -> Integer.compare(a.prefixLength(), b.prefixLength()))
         .map(Network::dataCentre)
         .orElse(v.home());
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
@@ -89,7 +89,7 @@
           "look up its effect; it is not run again",
           Outcome.UNKNOWN);
     }
-    if (o instanceof ClaimOutcome.OtherRequest) {
+    if (o instanceof ClaimOutcome.RequestMismatch) {
       return refused(
           ProblemKind.INVALID_INPUT,
           "this Idempotency-Key was used for another request",
@@ -118,11 +118,11 @@
   }
 
   void answered(Held held, int status) {
-    store.finished(held.key(), held.holder(), status);
+    store.markAnswered(held.key(), held.holder(), status);
   }
 
   void notRun(Held held) {
-    store.released(held.key(), held.holder());
+    store.release(held.key(), held.holder());
   }
 
   private static String digest(String text) {
--- a/host/src/main/java/dev/cactusstack/host/callers/Problems.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Problems.java
@@ -55,13 +55,13 @@
       x.setPersistent(false);
     }
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("type", "about:blank")
             .put("title", p.message())
             .put("status", p.kind().status())
             .put("kind", p.kind().label())
             .put("remedy", p.remedy())
             .put("outcome", outcome.label());
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(n)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(n)));
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestRun.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestRun.java
@@ -144,7 +144,7 @@
 
   /** How long the caller still waits, at most the time limit of an answer. */
   private long leftMs() {
-    return facts.leftMs(path.ticker().nanos(), path.settings().answerTimeoutMs());
+    return facts.leftMs(path.ticker().nanos(), path.settings().responseTimeoutMs());
   }
 
   private Passage passage() {
@@ -274,7 +274,7 @@
     }
     everPossiblyRun |= !state.provesNotRun();
     boolean left =
-        attempts < path.settings().attempts()
+        attempts < path.settings().maxAttempts()
             && !facts.repeated()
             && !exchange.isResponseStarted()
             && path.retries().tryWithdraw();
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import dev.cactusstack.decisions.recovery.ChangePlan;
 import dev.cactusstack.host.observe.Event;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
@@ -84,10 +84,10 @@
     CompletableFuture<EditOutcome> readAndCommit(int tries) {
       ConfigurationTable known = configuration.inForce();
       return store
-          .changesAfter(known.version())
+          .readChanges(known.version())
           .handle(
               (rows, t) ->
-                  t == null ? decide(known.merge(rows), tries) : again(tries, HttpFailure.of(t)))
+                  t == null ? decide(known.merge(rows), tries) : again(tries, HttpException.from(t)))
           .thenCompose(f -> f);
     }
 
@@ -123,7 +123,7 @@
           .commit(c.routes(), c.dataCentres())
           .handle(
               (o, t) ->
-                  t == null ? committed(c, base, o, tries) : failed(c, HttpFailure.of(t), tries))
+                  t == null ? committed(c, base, o, tries) : failed(c, HttpException.from(t), tries))
           .thenCompose(f -> f);
     }
 
@@ -139,21 +139,21 @@
         configuration.refresh();
         return done(new EditOutcome.Accepted(c.revision()));
       }
-      if (o instanceof CommitOutcome.Refused r && lost == null) {
+      if (o instanceof CommitOutcome.Rejected r && lost == null) {
         return done(notAccepted("the table service refused the edit: " + r.reason()));
       }
-      return again(tries, new HttpFailure(lost != null, "another edit was committed meanwhile"));
+      return again(tries, new HttpException(lost != null, "another edit was committed meanwhile"));
     }
 
     private CompletableFuture<EditOutcome> failed(
-        ChangePlan.Step.Commit c, HttpFailure f, int tries) {
-      if (f.mayBeProcessed()) {
+        ChangePlan.Step.Commit c, HttpException f, int tries) {
+      if (f.mayHaveBeenProcessed()) {
         lost = c;
       }
       return again(tries, f);
     }
 
-    private CompletableFuture<EditOutcome> again(int tries, HttpFailure cause) {
+    private CompletableFuture<EditOutcome> again(int tries, HttpException cause) {
       if (tries >= MAX_TRIES) {
         String reason = String.valueOf(cause.getMessage());
         return done(lost != null ? unknown(reason) : notAccepted(reason));
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -128,7 +128,7 @@
     long fairShare = 1_000L * members.members().size() / LIST_READS_PER_SECOND;
     nextReadMs = now + Math.max(MIN_LIST_INTERVAL_MS, fairShare);
     hostList
-        .hostsAfter(revision)
+        .readHostChanges(revision)
         .whenComplete((changes, t) -> loop.execute(() -> finishRead(changes)));
   }
 
--- a/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
+++ b/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
@@ -45,7 +45,7 @@
    * @param page the page
    * @return the position to continue from, or the start when the page has no rows
    */
-  public static ChangeCursor lastOf(ConfigurationTable page) {
+  public static ChangeCursor ofLastRow(ConfigurationTable page) {
     return rows(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
   }
 
@@ -56,7 +56,7 @@
    * @param count most rows to take
    * @return the page
    */
-  public LinkBody.ChangesPage page(ConfigurationTable table, int count) {
+  public LinkBody.ChangesPage readPage(ConfigurationTable table, int count) {
     List<ChangeCursor> rest = rows(table).stream().filter(c -> c.compareTo(this) > 0).toList();
     List<ChangeCursor> taken = rest.subList(0, Math.min(count, rest.size()));
     var routes = new TreeMap<>(table.routes());
--- a/link/src/main/java/dev/cactusstack/link/LinkCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkCodec.java
@@ -44,7 +44,7 @@
     putBody(e, m.body());
     byte[] envelope = e.build().toByteArray();
     return Datagram.newBuilder()
-        .setKeyId(keys.signingId())
+        .setKeyId(keys.signingKeyId())
         .setEnvelope(ByteString.copyFrom(envelope))
         .setTag(ByteString.copyFrom(keys.sign(envelope)))
         .build()
@@ -52,10 +52,10 @@
   }
 
   private static void putBody(Envelope.Builder e, LinkBody body) {
-    if (body instanceof LinkBody.Detection d) {
-      putProbe(e, d.probe());
+    if (body instanceof LinkBody.FailureDetection d) {
+      putProbe(e, d.message());
     } else if (body instanceof LinkBody.ChangesQuery q) {
-      e.getChangesQueryBuilder().setAfterVersion(q.after().version()).setAfterKey(q.after().key());
+      e.getChangesQueryBuilder().setAfterVersion(q.cursor().version()).setAfterKey(q.cursor().key());
     } else if (body instanceof LinkBody.ChangesPage p) {
       e.setChangesPage(TableCodec.encode(p));
     }
@@ -124,6 +124,6 @@
   }
 
   private static Optional<LinkBody> detection(ProbeMessage p) {
-    return Optional.of(new LinkBody.Detection(p));
+    return Optional.of(new LinkBody.FailureDetection(p));
   }
 }
--- a/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
+++ b/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
@@ -47,9 +47,9 @@
 
   static List<LinkBody> bodies() {
     return List.of(
-        new LinkBody.Detection(new ProbeMessage.Ping(7)),
-        new LinkBody.Detection(new ProbeMessage.Ack(-7)),
-        new LinkBody.Detection(new ProbeMessage.PingRequest(8, ADDRESS)),
+        new LinkBody.FailureDetection(new ProbeMessage.Ping(7)),
+        new LinkBody.FailureDetection(new ProbeMessage.Ack(-7)),
+        new LinkBody.FailureDetection(new ProbeMessage.PingRequest(8, ADDRESS)),
         new LinkBody.ChangesQuery(new ChangeCursor(4, "route/a/b")),
         new LinkBody.ChangesPage(table(), true));
   }
@@ -109,7 +109,7 @@
 
   private static byte[] signed(KeyRing ring, byte[] envelope) {
     return dev.cactusstack.link.generated.Datagram.newBuilder()
-        .setKeyId(ring.signingId())
+        .setKeyId(ring.signingKeyId())
         .setEnvelope(com.google.protobuf.ByteString.copyFrom(envelope))
         .setTag(com.google.protobuf.ByteString.copyFrom(ring.sign(envelope)))
         .build()
@@ -123,10 +123,10 @@
     var at = new ChangeCursor(0, "");
     boolean more = true;
     while (more) {
-      LinkBody.ChangesPage page = at.page(source, 4);
+      LinkBody.ChangesPage page = at.readPage(source, 4);
       read = read.merge(page.rows());
-      at = ChangeCursor.lastOf(page.rows());
-      more = page.more();
+      at = ChangeCursor.ofLastRow(page.rows());
+      more = page.hasMore();
     }
     assertThat(read).isEqualTo(source);
   }
--- a/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
@@ -13,9 +13,9 @@
  *
  * @param address where other hosts send datagrams
  * @param keys the accepted keys; the first signs
- * @param bytesPerSecond most bytes to send in a second, for control
+ * @param maxBytesPerSecond most bytes to send in a second, for control
  */
-public record LinkSettings(Address address, List<Key> keys, int bytesPerSecond) {
+public record LinkSettings(Address address, List<Key> keys, int maxBytesPerSecond) {
   private static final int MIN_SECRET_DIGITS = 32;
 
   /**
--- a/settings/src/main/java/dev/cactusstack/settings/Section.java
+++ b/settings/src/main/java/dev/cactusstack/settings/Section.java
@@ -21,10 +21,10 @@
 
   private final String path;
   private final JsonNode node;
-  private final List<SettingsFault> faults;
+  private final List<SettingsError> faults;
   private final Set<String> read = new HashSet<>();
 
-  Section(String path, JsonNode node, List<SettingsFault> faults) {
+  Section(String path, JsonNode node, List<SettingsError> faults) {
     this.path = path;
     this.node = node;
     this.faults = faults;
@@ -127,18 +127,18 @@
   }
 
   private void fault(String key, JsonNode n, String remedy) {
-    faults.add(new SettingsFault(at(key), n.isMissingNode() ? ABSENT : n.toString(), remedy));
+    faults.add(new SettingsError(at(key), n.isMissingNode() ? ABSENT : n.toString(), remedy));
   }
 
   /** Records a fault that does not show the value, for secrets. */
   void secretFault(String key, String remedy) {
-    faults.add(new SettingsFault(at(key), "hidden", remedy));
+    faults.add(new SettingsError(at(key), "hidden", remedy));
   }
 
   /** Reports the keys that nothing has read. */
   void finish() {
     if (!node.isObject()) {
-      faults.add(new SettingsFault(path, node.toString(), "write an object in braces"));
+      faults.add(new SettingsError(path, node.toString(), "write an object in braces"));
       return;
     }
     node.fieldNames()
--- a/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
+++ b/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
@@ -91,7 +91,7 @@
   }
 
   static byte[] transaction(List<Route> routes, List<DataCentreRow> dataCentres) {
-    ObjectNode t = Json.object();
+    ObjectNode t = Json.newObject();
     routes.forEach(
         r -> {
           ObjectNode w = write(t, ROUTE_PREFIX + r.key(), r.version(), r.operations());
@@ -103,7 +103,7 @@
         d ->
             write(t, DATA_CENTRE_PREFIX + d.dataCentre(), d.version(), d.operations())
                 .put("out", d.evacuated()));
-    return Json.bytes(t);
+    return Json.toBytes(t);
   }
 
   private static ObjectNode write(ObjectNode t, String key, long version, List<String> operations) {
