--- a/http/src/main/java/dev/cactusstack/http/HttpClient.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpClient.java
@@ -35,13 +35,13 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Sends control requests, one connection each.
+ * Sends control requests, each on its own connection.
  *
- * <p>Invariant: each returned future completes within the call's timeout, with the whole answer or
- * with an {@link HttpException}. Thread-safe.
+ * <p>Invariant: each returned future completes within the timeout of the request, with the complete
+ * response or with an {@link HttpException}. Thread-safe.
  */
 public final class HttpClient {
-  private static final int MAX_REPLY_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
   private static final int BUFFER_BYTES = 16 * 1024;
   private static final OptionMap OPTIONS = OptionMap.create(UndertowOptions.ENABLE_HTTP2, false);
 
@@ -50,10 +50,10 @@
   private final @Nullable XnioSsl ssl;
 
   /**
-   * Creates a caller.
+   * Creates a client.
    *
-   * @param worker supplies the threads that perform input and output
-   * @param tls the trust to use for {@code https} targets, if any are called
+   * @param worker the XNIO worker that provides the I/O threads
+   * @param tls the TLS context for {@code https} URIs, if any are used
    */
   public HttpClient(XnioWorker worker, Optional<SSLContext> tls) {
     this.worker = Objects.requireNonNull(worker, "worker is null");
@@ -64,35 +64,36 @@
   /**
    * Sends a request.
    *
-   * @param call the request
-   * @return the answer, or an {@link HttpException}
+   * @param httpRequest the request
+   * @return the response, or an {@link HttpException}
    */
-  public CompletableFuture<HttpResponse> send(HttpRequest call) {
-    Objects.requireNonNull(call, "call is null");
+  public CompletableFuture<HttpResponse> send(HttpRequest httpRequest) {
+    Objects.requireNonNull(httpRequest, "httpRequest is null");
     XnioIoThread thread = worker.getIoThread();
-    var pending = new Pending(call);
+    var pending = new PendingRequest(httpRequest);
     pending.timer =
-        thread.executeAfter(pending::timedOut, call.timeout().toMillis(), TimeUnit.MILLISECONDS);
-    // Some failures to connect are thrown rather than passed to the callback.
+        thread.executeAfter(
+            pending::onTimeout, httpRequest.timeout().toMillis(), TimeUnit.MILLISECONDS);
+    // Some connection failures are thrown instead of being passed to the callback.
     try {
-      UndertowClient.getInstance().connect(pending, call.uri(), thread, ssl, pool, OPTIONS);
+      UndertowClient.getInstance().connect(pending, httpRequest.uri(), thread, ssl, pool, OPTIONS);
     } catch (RuntimeException e) {
       pending.failed(new IOException(e));
     }
     return pending.result;
   }
 
-  /** The progress of one call. Confined to one I/O thread, except for {@code result}. */
-  private static final class Pending implements ClientCallback<ClientConnection> {
-    private final HttpRequest call;
+  /** The state of one request. Confined to one I/O thread, except for {@code result}. */
+  private static final class PendingRequest implements ClientCallback<ClientConnection> {
+    private final HttpRequest request;
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private XnioExecutor.@Nullable Key timer;
     private @Nullable ClientConnection connection;
-    private volatile boolean sent;
+    private volatile boolean mayHaveBeenSent;
 
-    Pending(HttpRequest call) {
-      this.call = call;
+    PendingRequest(HttpRequest request) {
+      this.request = request;
     }
 
     @Override
@@ -102,64 +103,64 @@
         IoUtils.safeClose(c);
         return;
       }
-      sent = true;
-      c.sendRequest(request(), new Sender());
+      mayHaveBeenSent = true;
+      c.sendRequest(toClientRequest(), new Sender());
     }
 
     @Override
     public void failed(IOException e) {
-      finish();
+      release();
       result.completeExceptionally(
           new HttpException(
-              sent,
-              call.method()
+              mayHaveBeenSent,
+              request.method()
                   + " "
-                  + call.uri()
+                  + request.uri()
                   + " failed: "
                   + (e.getMessage() == null ? "the connection was closed" : e.getMessage())
-                  + "; check the address, that the server runs, and whether it uses TLS"));
+                  + "; check the address, whether the server is running, and whether it uses TLS"));
     }
 
-    private void timedOut() {
+    private void onTimeout() {
       if (!result.isDone()) {
-        failed(new IOException("no answer within " + call.timeout().toMillis() + " ms"));
+        failed(new IOException("no response within " + request.timeout().toMillis() + " ms"));
       }
     }
 
-    private void finish() {
+    private void release() {
       if (timer != null) {
         timer.remove();
       }
       IoUtils.safeClose(connection);
     }
 
-    private ClientRequest request() {
-      String query = call.uri().getRawQuery();
-      String path = call.uri().getRawPath();
+    private ClientRequest toClientRequest() {
+      String query = request.uri().getRawQuery();
+      String path = request.uri().getRawPath();
       var r = new ClientRequest();
-      r.setMethod(new HttpString(call.method()));
+      r.setMethod(new HttpString(request.method()));
       r.setProtocol(Protocols.HTTP_1_1);
       r.setPath((path.isEmpty() ? "/" : path) + (query == null ? "" : "?" + query));
-      r.getRequestHeaders().put(Headers.HOST, call.uri().getAuthority());
-      r.getRequestHeaders().put(Headers.CONTENT_LENGTH, call.body().length);
-      call.headers().forEach((k, v) -> r.getRequestHeaders().put(new HttpString(k), v));
+      r.getRequestHeaders().put(Headers.HOST, request.uri().getAuthority());
+      r.getRequestHeaders().put(Headers.CONTENT_LENGTH, request.body().length);
+      request.headers().forEach((k, v) -> r.getRequestHeaders().put(new HttpString(k), v));
       return r;
     }
 
-    /** Writes the body, then waits for the answer. */
+    /** Writes the body, then waits for the response. */
     private final class Sender implements ClientCallback<ClientExchange> {
       @Override
       public void completed(ClientExchange x) {
         x.setResponseListener(new Receiver());
         StreamSinkChannel sink = x.getRequestChannel();
-        ByteBuffer data = ByteBuffer.wrap(call.body());
+        ByteBuffer data = ByteBuffer.wrap(request.body());
         sink.getWriteSetter().set(ch -> write(ch, data));
         write(sink, data);
       }
 
       @Override
       public void failed(IOException e) {
-        Pending.this.failed(e);
+        PendingRequest.this.failed(e);
       }
 
       private void write(StreamSinkChannel sink, ByteBuffer data) {
@@ -176,12 +177,12 @@
             sink.resumeWrites();
           }
         } catch (IOException e) {
-          Pending.this.failed(e);
+          PendingRequest.this.failed(e);
         }
       }
     }
 
-    /** Collects the answer's body. */
+    /** Collects the response body. */
     private final class Receiver implements ClientCallback<ClientExchange> {
       @Override
       public void completed(ClientExchange x) {
@@ -192,7 +193,7 @@
 
       @Override
       public void failed(IOException e) {
-        Pending.this.failed(e);
+        PendingRequest.this.failed(e);
       }
 
       private void read(ClientExchange x, StreamSourceChannel source) {
@@ -205,18 +206,18 @@
             }
             body.write(buffer.array(), 0, buffer.position());
             buffer.clear();
-            if (body.size() > MAX_REPLY_BYTES) {
-              throw new IOException("answer larger than " + MAX_REPLY_BYTES + " bytes");
+            if (body.size() > MAX_RESPONSE_BYTES) {
+              throw new IOException("response larger than " + MAX_RESPONSE_BYTES + " bytes");
             }
           }
           succeed(x);
         } catch (IOException e) {
-          Pending.this.failed(e);
+          PendingRequest.this.failed(e);
         }
       }
 
       private void succeed(ClientExchange x) {
-        finish();
+        release();
         Map<String, String> headers = new HashMap<>();
         x.getResponse()
             .getResponseHeaders()
--- a/http/src/main/java/dev/cactusstack/http/HttpException.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpException.java
@@ -2,21 +2,23 @@
 
 import java.util.Objects;
 
-/** No whole answer was received. Says whether the request can have been processed. */
+/**
+ * Thrown when no complete response was received. Tells whether the request may have been processed.
+ */
 public final class HttpException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  private final boolean sent;
+  private final boolean mayHaveBeenSent;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param sent whether any part of the request may have reached the server
-   * @param message what went wrong and what to do
+   * @param mayHaveBeenSent whether any part of the request may have reached the server
+   * @param message the cause and the remedy
    */
-  public HttpException(boolean sent, String message) {
+  public HttpException(boolean mayHaveBeenSent, String message) {
     super(Objects.requireNonNull(message, "message is null"));
-    this.sent = sent;
+    this.mayHaveBeenSent = mayHaveBeenSent;
   }
 
   /**
@@ -25,14 +27,14 @@
    * @return false only when no part of the request was sent
    */
   public boolean mayHaveBeenProcessed() {
-    return sent;
+    return mayHaveBeenSent;
   }
 
   /**
-   * Finds the failure that completed a future exceptionally.
+   * Finds the HTTP exception that completed a future exceptionally.
    *
-   * @param t what a completion stage reported
-   * @return the failure itself, or one that assumes the request was sent
+   * @param t the throwable reported by a completion stage
+   * @return the HTTP exception in the cause chain, or a new one that assumes the request was sent
    */
   public static HttpException from(Throwable t) {
     Throwable c = t;
--- a/http/src/main/java/dev/cactusstack/http/HttpRequest.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpRequest.java
@@ -7,13 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * One control request. Immutable and thread-safe; the body must not be changed afterwards.
+ * An HTTP request of the control plane. Immutable and thread-safe; the body must not be changed
+ * afterwards.
  *
  * @param method the HTTP method
- * @param uri the absolute target
+ * @param uri the absolute URI
  * @param headers header fields by name
- * @param body the content, empty for none
- * @param timeout how long to wait for the whole answer
+ * @param body the content, empty if there is none
+ * @param timeout the timeout for the complete response
  */
 public record HttpRequest(
     String method, URI uri, Map<String, String> headers, byte[] body, Duration timeout) {
@@ -30,8 +31,8 @@
   /**
    * Creates a GET request.
    *
-   * @param uri the absolute target
-   * @param timeout how long to wait for the whole answer
+   * @param uri the absolute URI
+   * @param timeout the timeout for the complete response
    * @return the request
    */
   public static HttpRequest get(URI uri, Duration timeout) {
@@ -42,9 +43,9 @@
    * Creates a request with a JSON body.
    *
    * @param method the HTTP method
-   * @param uri the absolute target
+   * @param uri the absolute URI
    * @param json the content
-   * @param timeout how long to wait for the whole answer
+   * @param timeout the timeout for the complete response
    * @return the request
    */
   public static HttpRequest json(String method, URI uri, byte[] json, Duration timeout) {
@@ -56,7 +57,7 @@
    *
    * @param name the field's name
    * @param value the field's value
-   * @return the changed request
+   * @return a copy of the request with the field
    */
   public HttpRequest withHeader(String name, String value) {
     var h = new TreeMap<>(headers);
--- a/http/src/main/java/dev/cactusstack/http/HttpResponse.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpResponse.java
@@ -5,10 +5,11 @@
 import java.util.Objects;
 
 /**
- * A whole answer to a control request. Immutable and thread-safe; the body must not be changed.
+ * A complete response to a control request. Immutable and thread-safe; the body must not be
+ * changed.
  *
  * @param status the status code
- * @param headers first value of each header field, by lower-case name
+ * @param headers the first value of each header field, by lower-case name
  * @param body the content
  */
 public record HttpResponse(int status, Map<String, String> headers, byte[] body) {
@@ -20,7 +21,7 @@
   }
 
   /**
-   * Decodes the content as UTF-8.
+   * Decodes the body as UTF-8.
    *
    * @return the text
    */
--- a/http/src/main/java/dev/cactusstack/http/Json.java
+++ b/http/src/main/java/dev/cactusstack/http/Json.java
@@ -41,7 +41,7 @@
    * Parses a document.
    *
    * @param bytes UTF-8 bytes
-   * @return the tree, or nothing when the bytes are not one JSON document
+   * @return the tree, or empty if the bytes are not a JSON document
    */
   public static Optional<JsonNode> parse(byte[] bytes) {
     try {
--- a/http/src/main/java/dev/cactusstack/http/XnioWorkers.java
+++ b/http/src/main/java/dev/cactusstack/http/XnioWorkers.java
@@ -8,15 +8,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Creates the threads that perform input and output. Stateless and thread-safe. */
+/** Creates XNIO workers. Stateless and thread-safe. */
 public final class XnioWorkers {
   private XnioWorkers() {}
 
   /**
-   * Creates daemon I/O threads; tasks that block have one thread.
+   * Creates a worker with daemon I/O threads and one thread for blocking tasks.
    *
-   * @param name names the threads
-   * @param ioThreads how many I/O threads
+   * @param name the name prefix of the threads
+   * @param ioThreads the number of I/O threads
    * @return the running worker
    */
   public static XnioWorker createDaemonWorker(String name, int ioThreads) {
