--- a/settings/src/main/java/dev/cactusstack/settings/CallerListenerSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/CallerListenerSettings.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * The port for callers. Immutable and thread-safe.
+ * Settings of the listener for callers. Immutable and thread-safe.
  *
- * @param address where callers connect
- * @param ioThreads threads that perform input and output
- * @param maxHeaderBytes largest header section of a request
- * @param maxBodyBytes largest body of a request
- * @param receiveTimeoutMs how long a request's header section, or a pause inside its body, may last
- * @param idleTimeoutMs how long a connection may stay without a request
- * @param entriesTtlMs how long callers may keep the answer to a look-up
- * @param networks which data centre is nearest to which callers
+ * @param address the address to listen on
+ * @param ioThreads the number of I/O threads
+ * @param maxHeaderBytes the maximum size of a request header section
+ * @param maxBodyBytes the maximum size of a request body
+ * @param receiveTimeoutMs the maximum time to receive a header section, and the maximum pause
+ *     within a body
+ * @param idleTimeoutMs the maximum time a connection may be idle
+ * @param entriesTtlMs how long callers may cache the response to an address lookup
+ * @param networks the networks of callers with their nearest data centres
  */
 public record CallerListenerSettings(
     Address address,
@@ -43,7 +44,7 @@
             (int) s.integer("idle_timeout_ms", 60_000, 1_000, 3_600_000),
             (int) s.integer("entries_ttl_ms", 5_000, 1_000, 60_000),
             networks(s));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 
@@ -53,7 +54,7 @@
       var dataCentre =
           n.parsed("data_centre", "example-1", dev.cactusstack.model.DataCentre::parse);
       list.add(n.parsed("prefix", "10.1.0.0/16", t -> Network.parse(t, dataCentre)));
-      n.finish();
+      n.rejectUnknownKeys();
     }
     return list;
   }
--- a/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
@@ -17,13 +17,13 @@
 /**
  * The settings of one entry host. Immutable and thread-safe.
  *
- * @param id the host's identity
- * @param dataCentre where the host is
- * @param callers the port for callers
- * @param operators the port for operators
+ * @param id the id of the host
+ * @param dataCentre the data centre of the host
+ * @param callers the listener for callers
+ * @param operators the listener for operators
  * @param link the link between hosts
- * @param platform the platform's services
- * @param requests how requests are treated
+ * @param platform the connection to the platform's services
+ * @param requests the handling of requests
  */
 public record HostSettings(
     HostId id,
@@ -41,11 +41,11 @@
           .build();
 
   /**
-   * Reads and checks a settings file's text.
+   * Parses and validates the text of a settings file.
    *
-   * @param text JSON, comments allowed
-   * @param environment the process's environment variables
-   * @return the settings, or every fault
+   * @param text JSON text; comments and trailing commas are allowed
+   * @param environment the environment variables of the process
+   * @return the settings, or all errors found
    */
   public static SettingsResult parse(String text, Map<String, String> environment) {
     Objects.requireNonNull(text, "text is null");
@@ -53,19 +53,21 @@
     try {
       root = MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
-      String at = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
+      String location = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
       return new SettingsResult.Invalid(
-          List.of(new SettingsError("(file)", at, "correct the JSON: " + e.getOriginalMessage())));
+          List.of(
+              new SettingsError(
+                  "(file)", location, "correct the JSON: " + e.getOriginalMessage())));
     }
     if (root == null || !root.isObject()) {
       return new SettingsResult.Invalid(
-          List.of(new SettingsError("(file)", "no object", "write one object in braces")));
+          List.of(new SettingsError("(file)", "not an object", "write one object in braces")));
     }
-    var faults = new ArrayList<SettingsError>();
-    HostSettings settings = read(new Section("", root, faults), environment);
-    return faults.isEmpty()
+    var errors = new ArrayList<SettingsError>();
+    HostSettings settings = read(new Section("", root, errors), environment);
+    return errors.isEmpty()
         ? new SettingsResult.Valid(settings)
-        : new SettingsResult.Invalid(faults);
+        : new SettingsResult.Invalid(errors);
   }
 
   private static HostSettings read(Section root, Map<String, String> environment) {
@@ -79,8 +81,8 @@
             LinkSettings.read(root.section("link")),
             PlatformSettings.read(root.section("platform")),
             RequestSettings.read(root.section("requests")));
-    host.finish();
-    root.finish();
+    host.rejectUnknownKeys();
+    root.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /**
- * The link between entry hosts. Immutable and thread-safe.
+ * Settings of the link between entry hosts. Immutable and thread-safe.
  *
- * @param address where other hosts send datagrams
- * @param keys the accepted keys; the first signs
- * @param maxBytesPerSecond most bytes to send in a second, for control
+ * @param address the UDP address that receives datagrams from other hosts
+ * @param keys the accepted keys; the first key signs
+ * @param maxBytesPerSecond the limit on control traffic sent, in bytes per second
  */
 public record LinkSettings(Address address, List<Key> keys, int maxBytesPerSecond) {
-  private static final int MIN_SECRET_DIGITS = 32;
+  private static final int MIN_SECRET_HEX_DIGITS = 32;
 
   /**
-   * A shared secret.
+   * A shared secret for authentication.
    *
-   * @param id the number that datagrams name it by
+   * @param id the key id carried in datagrams
    * @param secret the secret
    */
   public record Key(int id, byte[] secret) {
@@ -44,31 +44,34 @@
     for (Section k : s.sections("keys")) {
       Key key = key(k);
       if (!ids.add(key.id())) {
-        k.fault("id", "give each key its own number");
+        k.addError("id", "give each key a unique id");
       }
       keys.add(key);
     }
     if (keys.isEmpty()) {
-      s.fault("keys", "add at least one, as {\"id\": 1, \"secret\": \"32 or more hex digits\"}");
+      s.addError(
+          "keys",
+          "add at least one key, such as {\"id\": 1, \"secret\": \"32 or more hex digits\"}");
     }
     int rate = (int) s.integer("bytes_per_second", 5_000, 1_000, 1_000_000);
-    s.finish();
+    s.rejectUnknownKeys();
     return new LinkSettings(address, keys, rate);
   }
 
   private static Key key(Section s) {
     int id = (int) s.integer("id", 1, 1, Integer.MAX_VALUE);
-    String hex = s.string("secret", "0".repeat(MIN_SECRET_DIGITS));
-    s.finish();
+    String hex = s.string("secret", "0".repeat(MIN_SECRET_HEX_DIGITS));
+    s.rejectUnknownKeys();
     try {
       byte[] secret = HexFormat.of().parseHex(hex);
-      if (hex.length() >= MIN_SECRET_DIGITS) {
+      if (hex.length() >= MIN_SECRET_HEX_DIGITS) {
         return new Key(id, secret);
       }
     } catch (IllegalArgumentException e) {
-      // Reported below, as for a secret that is too short.
+      // Reported below, like a secret that is too short.
     }
-    s.secretFault("secret", "write an even number of hex digits, at least " + MIN_SECRET_DIGITS);
-    return new Key(id, new byte[MIN_SECRET_DIGITS / 2]);
+    s.addSecretError(
+        "secret", "write an even number of hex digits, at least " + MIN_SECRET_HEX_DIGITS);
+    return new Key(id, new byte[MIN_SECRET_HEX_DIGITS / 2]);
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/Network.java
+++ b/settings/src/main/java/dev/cactusstack/settings/Network.java
@@ -8,15 +8,15 @@
 import java.util.regex.Pattern;
 
 /**
- * An IPv4 network whose callers are nearest to one data centre. Immutable and thread-safe.
+ * An IPv4 network of callers and the data centre nearest to it. Immutable and thread-safe.
  *
- * @param networkAddress the network's address as a 32-bit number
- * @param prefixLength the length of its prefix, 0 to 32
+ * @param networkAddress the network address as a 32-bit number
+ * @param prefixLength the length of the network prefix in bits, 0 to 32
  * @param dataCentre the nearest data centre
  */
 public record Network(int networkAddress, int prefixLength, DataCentre dataCentre) {
   private static final int ADDRESS_BITS = 32;
-  private static final Pattern FORM =
+  private static final Pattern CIDR_PATTERN =
       Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})/([0-9]{1,2})");
 
   /** Checks the components. */
@@ -33,10 +33,10 @@
    */
   public static Result<Network> parse(String text, DataCentre dataCentre) {
     Objects.requireNonNull(text, "text is null");
-    Matcher m = FORM.matcher(text);
+    Matcher m = CIDR_PATTERN.matcher(text);
     if (!m.matches() || Integer.parseInt(m.group(5)) > ADDRESS_BITS) {
       return Result.failure(
-          Problem.invalid("'" + text + "' is not a network", "write it as \"10.1.0.0/16\""));
+          Problem.invalid("'" + text + "' is not an IPv4 network", "write it as \"10.1.0.0/16\""));
     }
     int base = 0;
     for (int i = 1; i <= 4; i++) {
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Tells whether an address belongs to the network.
+   * Checks whether an address belongs to the network.
    *
    * @param address an IPv4 address, in network byte order
-   * @return true when its prefix matches
+   * @return true if the address is in the network
    */
   public boolean contains(byte[] address) {
     if (address.length != 4) {
--- a/settings/src/main/java/dev/cactusstack/settings/OperatorListenerSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/OperatorListenerSettings.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 
 /**
- * The port for operators.
+ * Settings of the listener for operators.
  *
- * <p>Invariant: an address that is not loopback has a token and TLS. Immutable and thread-safe.
+ * <p>Invariant: an address other than loopback requires a token and TLS. Immutable and thread-safe.
  *
- * @param address where operators connect
- * @param token what operators present, if they must
- * @param tls the server's key, if the port uses TLS
+ * @param address the address to listen on
+ * @param token the bearer token required of operators, if any
+ * @param tls the keystore of the server, if the listener uses TLS
  */
-public record OperatorListenerSettings(Address address, Optional<String> token, Optional<TlsKeystore> tls) {
-  /** The environment variable that sets the token in place of the file. */
+public record OperatorListenerSettings(
+    Address address, Optional<String> token, Optional<TlsKeystore> tls) {
+  /** The environment variable that overrides the token of the settings file. */
   public static final String TOKEN_VARIABLE = "CACTUSSTACK_OPERATORS_TOKEN";
 
   private static final int MIN_TOKEN_LENGTH = 16;
@@ -23,13 +24,13 @@
   /**
    * A private key and its certificate in a PKCS #12 file.
    *
-   * @param path the file's path
-   * @param password the file's password
+   * @param path the path of the file
+   * @param password the password of the file
    */
   public record TlsKeystore(String path, String password) {
     @Override
     public String toString() {
-      return "TlsKey(" + path + ")";
+      return "TlsKeystore(" + path + ")";
     }
   }
 
@@ -42,20 +43,24 @@
 
   static OperatorListenerSettings read(Section s, Map<String, String> environment) {
     Address address = s.address("address", "127.0.0.1:8081");
-    Optional<String> inFile = s.optionalString("token");
-    Optional<String> token = Optional.ofNullable(environment.get(TOKEN_VARIABLE)).or(() -> inFile);
+    Optional<String> fileToken = s.optionalString("token");
+    Optional<String> token =
+        Optional.ofNullable(environment.get(TOKEN_VARIABLE)).or(() -> fileToken);
     Optional<TlsKeystore> tls = s.optionalSection("tls").map(t -> tls(t, environment));
     if (token.isPresent() && token.get().length() < MIN_TOKEN_LENGTH) {
-      s.secretFault("token", "use at least " + MIN_TOKEN_LENGTH + " characters");
+      s.addSecretError("token", "use at least " + MIN_TOKEN_LENGTH + " characters");
     }
     if (!address.isLoopback() && token.isEmpty()) {
-      s.fault(
-          "token", "set it, or the variable " + TOKEN_VARIABLE + "; only loopback works without");
+      s.addError(
+          "token",
+          "set it, or the environment variable "
+              + TOKEN_VARIABLE
+              + "; only loopback needs no token");
     }
     if (!address.isLoopback() && tls.isEmpty()) {
-      s.fault("tls", "name a keystore; only loopback works without TLS");
+      s.addError("tls", "configure a keystore; only loopback addresses work without TLS");
     }
-    s.finish();
+    s.rejectUnknownKeys();
     return new OperatorListenerSettings(address, token, tls);
   }
 
@@ -64,14 +69,14 @@
     String variable = s.string("password_variable", "CACTUSSTACK_TLS_PASSWORD");
     String password = environment.get(variable);
     if (password == null) {
-      s.fault("password_variable", "set the environment variable " + variable);
+      s.addError("password_variable", "set the environment variable " + variable);
     }
-    s.finish();
+    s.rejectUnknownKeys();
     return new TlsKeystore(keystore, password == null ? "" : password);
   }
 
   @Override
   public String toString() {
-    return "OperatorsSettings(" + address + ")";
+    return "OperatorListenerSettings(" + address + ")";
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/PlatformSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/PlatformSettings.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * The platform's services. Immutable and thread-safe.
+ * Settings of the connection to the platform's services. Immutable and thread-safe.
  *
- * @param address where the table service and the host list are served
- * @param timeoutMs how long one request may take
- * @param readIntervalMs between two reads of the table by one of its readers
+ * @param address the address of the table service and the host list
+ * @param timeoutMs the timeout of one request
+ * @param readIntervalMs the interval between two reads of the table by a reader host
  */
 public record PlatformSettings(Address address, int timeoutMs, int readIntervalMs) {
 
@@ -23,7 +23,7 @@
             s.address("address", "127.0.0.1:9000"),
             (int) s.integer("timeout_ms", 1_000, 50, 60_000),
             (int) s.integer("read_interval_ms", 1_000, 100, 60_000));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/RequestSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/RequestSettings.java
@@ -1,18 +1,18 @@
 package dev.cactusstack.settings;
 
 /**
- * How requests are treated. Immutable and thread-safe.
+ * Settings for the handling of requests. Immutable and thread-safe.
  *
- * @param maxQueueLength most requests that wait for one route at its owner
- * @param queueTimeoutMs how long a request may wait for an upstream
- * @param responseTimeoutMs how long an upstream may take to begin its answer
- * @param connectTimeoutMs how long opening a connection may take
- * @param maxAttempts most attempts for one request
- * @param retryRatio retries allowed for each first attempt
- * @param hedgeRatio second attempts beside a slow one allowed for each first attempt
- * @param maxClaimsPerSecond most requests with an {@code Idempotency-Key} that one host takes in a
- *     second; each costs the platform two writes
- * @param drainTimeoutMs how long a leaving host waits for requests in flight
+ * @param maxQueueLength the maximum number of requests queued for a route at its owner
+ * @param queueTimeoutMs the maximum time a request may wait for an upstream
+ * @param responseTimeoutMs the maximum time until an upstream starts its response
+ * @param connectTimeoutMs the timeout for opening a connection
+ * @param maxAttempts the maximum number of attempts per request
+ * @param retryRatio the number of retries allowed per first attempt
+ * @param hedgeRatio the number of hedged requests allowed per first attempt
+ * @param maxClaimsPerSecond the maximum number of requests with an {@code Idempotency-Key} that one
+ *     host accepts per second; each request costs the platform two writes
+ * @param drainTimeoutMs the maximum time a host waits for requests in flight when it shuts down
  */
 public record RequestSettings(
     int maxQueueLength,
@@ -37,7 +37,7 @@
             s.fraction("hedge_share", 0.05),
             (int) s.integer("claims_per_second", 10, 1, 10_000),
             (int) s.integer("drain_timeout_ms", 600_000, 0, 86_400_000));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/SettingsError.java
+++ b/settings/src/main/java/dev/cactusstack/settings/SettingsError.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong with a settings file. Immutable and thread-safe.
+ * An error in a settings file. Immutable and thread-safe.
  *
  * @param key the dotted path of the setting
- * @param value what stands there, as JSON; {@code absent} for nothing
+ * @param value the value found, as JSON, or {@code absent}
  * @param remedy what to write instead
  */
 public record SettingsError(String key, String value, String remedy) {
--- a/settings/src/main/java/dev/cactusstack/settings/SettingsResult.java
+++ b/settings/src/main/java/dev/cactusstack/settings/SettingsResult.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Objects;
 
-/** The outcome of reading a settings file. Immutable and thread-safe. */
+/** The result of reading a settings file. Immutable and thread-safe. */
 public sealed interface SettingsResult {
 
   /**
-   * Every key is acceptable.
+   * All settings are valid.
    *
    * @param settings the settings
    */
@@ -19,12 +19,12 @@
   }
 
   /**
-   * At least one key is not acceptable.
+   * At least one setting is invalid.
    *
-   * @param errors all that is wrong
+   * @param errors all errors found
    */
   record Invalid(List<SettingsError> errors) implements SettingsResult {
-    /** Copies the faults. */
+    /** Copies the errors. */
     public Invalid {
       errors = List.copyOf(errors);
     }
--- a/settings/src/main/java/dev/cactusstack/settings/package-info.java
+++ b/settings/src/main/java/dev/cactusstack/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Reads and checks the settings of an entry host: JSON with comments, every key checked. */
+/** Reads and validates the settings of an entry host, written as JSON with comments. */
 @NullMarked
 package dev.cactusstack.settings;
 
--- a/settings/src/test/java/dev/cactusstack/settings/HostSettingsTest.java
+++ b/settings/src/test/java/dev/cactusstack/settings/HostSettingsTest.java
@@ -23,7 +23,7 @@
       """
           .formatted(SECRET);
 
-  private static List<SettingsError> faults(String text) {
+  private static List<SettingsError> errors(String text) {
     SettingsResult c = HostSettings.parse(text, Map.of());
     return c instanceof SettingsResult.Invalid i ? i.errors() : List.of();
   }
@@ -52,31 +52,31 @@
         "{\"id\": 1,                | {\"id\": 0,                  | link.keys[0].id"
       })
   void shouldNameTheKeyAndARemedyWhenAValueIsWrong(String from, String to, String key) {
-    List<SettingsError> faults = faults(VALID.replace(from, to == null ? "" : to));
-    assertThat(faults).extracting(SettingsError::key).contains(key);
-    assertThat(faults).allSatisfy(f -> assertThat(f.remedy()).isNotBlank());
+    List<SettingsError> errors = errors(VALID.replace(from, to == null ? "" : to));
+    assertThat(errors).extracting(SettingsError::key).contains(key);
+    assertThat(errors).allSatisfy(f -> assertThat(f.remedy()).isNotBlank());
   }
 
   @Test
   void shouldNotShowASecretWhenItIsWrong() {
-    List<SettingsError> faults = faults(VALID.replace(SECRET, "beef"));
-    assertThat(faults).hasSize(1);
-    assertThat(faults.get(0).toString()).contains("link.keys[0].secret").doesNotContain("beef");
+    List<SettingsError> errors = errors(VALID.replace(SECRET, "beef"));
+    assertThat(errors).hasSize(1);
+    assertThat(errors.get(0).toString()).contains("link.keys[0].secret").doesNotContain("beef");
   }
 
   @Test
-  void shouldReportEveryFaultAtOnce() {
+  void shouldReportAllErrorsAtOnceWhenSeveralValuesAreWrong() {
     String text = VALID.replace("\"id\": \"a-1\"", "\"id\": 7").replace("8192", "-1");
-    assertThat(faults(text)).hasSize(2);
+    assertThat(errors(text)).hasSize(2);
   }
 
   @Test
   void shouldReportTheLineWhenTheFileIsNotJson() {
-    assertThat(faults("{\n\"host\": }").get(0).value()).contains("line 2");
+    assertThat(errors("{\n\"host\": }").get(0).value()).contains("line 2");
   }
 
   @Test
-  void shouldTakeTheTokenFromTheEnvironmentWhenSet() {
+  void shouldReadTheTokenFromTheEnvironmentWhenSet() {
     var environment = Map.of(OperatorListenerSettings.TOKEN_VARIABLE, "a-long-enough-token");
     SettingsResult c = HostSettings.parse(VALID, environment);
     assertThat(((SettingsResult.Valid) c).settings().operators().token())
