--- a/storage/src/main/java/dev/cactusstack/storage/ClaimStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/ClaimStore.java
@@ -5,18 +5,19 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Claims on idempotency keys in the platform's table service. A claim is made once and does not
- * lapse before its retention ends, so its holder needs no lease. Implementations are thread-safe.
+ * Stores claims on idempotency keys in the platform's table service. A claim is made once and does
+ * not expire before its retention ends, so its holder needs no lease. Implementations are
+ * thread-safe.
  */
 public interface ClaimStore {
 
   /**
-   * Claims a key, unless it is claimed.
+   * Claims a key if it is not claimed yet.
    *
    * @param key the key
-   * @param holder identifies this attempt to claim
-   * @return what became of it, or an {@link dev.cactusstack.http.HttpException} when that is not
-   *     known; the request has not been run then
+   * @param holder identifies this attempt to claim the key
+   * @return the outcome, or an {@link dev.cactusstack.http.HttpException} if the outcome is
+   *     unknown; the request must not run in that case
    */
   CompletableFuture<ClaimOutcome> claim(ClaimKey key, String holder);
 
@@ -24,24 +25,24 @@
    * Records that the request was answered.
    *
    * @param key the key
-   * @param holder who claimed it
-   * @param status the answer's status code
+   * @param holder the holder that claimed the key
+   * @param status the status code of the response
    */
   void markAnswered(ClaimKey key, String holder, int status);
 
   /**
-   * Gives the key back after a request that was certainly not run.
+   * Releases the key after a request that certainly did not run.
    *
    * @param key the key
-   * @param holder who claimed it
+   * @param holder the holder that claimed the key
    */
   void release(ClaimKey key, String holder);
 
   /**
-   * Identifies a request of a caller.
+   * Identifies a request with an idempotency key.
    *
    * @param service the service
-   * @param keyDigest a digest of the caller's key, in hexadecimal digits
+   * @param keyDigest a digest of the idempotency key, in hexadecimal digits
    * @param requestFingerprint a digest of the method and target, in hexadecimal digits
    */
   record ClaimKey(ServiceName service, String keyDigest, String requestFingerprint) {
@@ -53,22 +54,22 @@
     }
   }
 
-  /** What became of a claim. */
+  /** The outcome of a claim. */
   sealed interface ClaimOutcome {
-    /** The claim is held; the request may run. */
+    /** The key was claimed; the request may run. */
     record Granted() implements ClaimOutcome {}
 
-    /** The same request runs now, or its outcome was lost. */
+    /** The same request is running, or its outcome was lost. */
     record InProgress() implements ClaimOutcome {}
 
     /**
-     * The same request was answered.
+     * The same request has already been answered.
      *
-     * @param status the status code of the answer
+     * @param status the status code of the response
      */
     record AlreadyAnswered(int status) implements ClaimOutcome {}
 
-    /** The key was used for another request. */
+    /** The key was already used for a different request. */
     record RequestMismatch() implements ClaimOutcome {}
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HostChanges.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HostChanges.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * What changed in the host list. Immutable and thread-safe.
+ * Changes of the host list. Immutable and thread-safe.
  *
- * @param revision the revision that the changes lead to
- * @param fullSnapshot whether the changes are the whole list, so that hosts left out are gone
- * @param addedOrUpdated hosts that are new or have another entry
- * @param removed addresses that are no longer listed
+ * @param revision the revision of the list after the changes
+ * @param fullSnapshot whether the changes contain the whole list, so that missing hosts were
+ *     removed
+ * @param addedOrUpdated hosts that were added or whose entry changed
+ * @param removed addresses that were removed from the list
  */
 public record HostChanges(
     long revision, boolean fullSnapshot, List<ListedHost> addedOrUpdated, List<Address> removed) {
@@ -26,8 +27,8 @@
   /**
    * Applies the changes.
    *
-   * @param before the hosts known before, by address
-   * @return the hosts known now, by address
+   * @param before the hosts before the changes, by address
+   * @return the hosts after the changes, by address
    */
   public Map<Address, ListedHost> applyTo(Map<Address, ListedHost> before) {
     var after = new TreeMap<Address, ListedHost>();
--- a/storage/src/main/java/dev/cactusstack/storage/HostList.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HostList.java
@@ -2,13 +2,15 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's list of hosts, which lags behind the truth. Implementations are thread-safe. */
+/**
+ * The platform's list of hosts, which is eventually consistent. Implementations are thread-safe.
+ */
 public interface HostList {
 
   /**
-   * Reads what changed after a revision.
+   * Reads the changes after a revision.
    *
-   * @param revision the revision the reader has; 0 reads all
+   * @param revision the revision the reader already has; 0 reads the whole list
    * @return the changes, or an {@link dev.cactusstack.http.HttpException}
    */
   CompletableFuture<HostChanges> readHostChanges(long revision);
--- a/storage/src/main/java/dev/cactusstack/storage/HttpClaimStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HttpClaimStore.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.cactusstack.http.HttpRequest;
 import dev.cactusstack.http.HttpClient;
 import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.HttpRequest;
 import dev.cactusstack.http.HttpResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
@@ -14,30 +14,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Claims over the platform's HTTP interface, in its table {@code claims}.
+ * Claim store on the platform's HTTP interface, in the table {@code claims}.
  *
- * <p>Invariant: {@link ClaimOutcome.Granted} is returned only when the row holds this holder's
- * claim. Thread-safe.
+ * <p>Invariant: {@link ClaimOutcome.Granted} is returned only if the row contains the claim of this
+ * holder. Thread-safe.
  */
 public final class HttpClaimStore implements ClaimStore {
   private static final int OK = 200;
   private static final int CONFLICT = 409;
   private static final long RETENTION_MS = Duration.ofHours(24).toMillis();
 
-  private final HttpClient caller;
-  private final String base;
+  private final HttpClient httpClient;
+  private final String baseUrl;
   private final Duration timeout;
 
   /**
    * Creates a client.
    *
-   * @param caller sends the requests
-   * @param address where the platform serves
-   * @param timeout how long one request may take
+   * @param httpClient the client that sends the requests
+   * @param address the address of the platform
+   * @param timeout the timeout of one request
    */
-  public HttpClaimStore(HttpClient caller, Address address, Duration timeout) {
-    this.caller = Objects.requireNonNull(caller, "caller is null");
-    this.base = "http://" + Objects.requireNonNull(address, "address is null");
+  public HttpClaimStore(HttpClient httpClient, Address address, Duration timeout) {
+    this.httpClient = Objects.requireNonNull(httpClient, "httpClient is null");
+    this.baseUrl = "http://" + Objects.requireNonNull(address, "address is null");
     this.timeout = Objects.requireNonNull(timeout, "timeout is null");
   }
 
@@ -45,20 +45,20 @@
   public CompletableFuture<ClaimOutcome> claim(ClaimKey key, String holder) {
     Objects.requireNonNull(key, "key is null");
     Objects.requireNonNull(holder, "holder is null");
-    return commit(key, 0, value(key, holder, "running", 0))
-        .handle((reply, t) -> t == null ? reply.status() : 0)
+    return commit(key, 0, claimValue(key, holder, "running", 0))
+        .handle((response, t) -> t == null ? response.status() : 0)
         .thenCompose(
             status ->
                 status == OK
                     ? CompletableFuture.completedFuture(new ClaimOutcome.Granted())
-                    // After a conflict or a lost answer the row tells who holds the key.
+                    // After a conflict or a lost response, the row shows which holder has the key.
                     : read(key).thenApply(row -> outcome(row, key, holder)));
   }
 
   private static ClaimOutcome outcome(JsonNode row, ClaimKey key, String holder) {
     JsonNode v = row.path("value");
     if (v.isMissingNode()) {
-      throw new HttpException(true, "the claim was neither granted nor found");
+      throw new HttpException(true, "the claim was not granted and no claim on the key was found");
     }
     if (v.path("holder").asText().equals(holder)) {
       return new ClaimOutcome.Granted();
@@ -73,16 +73,18 @@
 
   @Override
   public void markAnswered(ClaimKey key, String holder, int status) {
-    change(key, holder, value(key, holder, "answered", status));
+    update(key, holder, claimValue(key, holder, "answered", status));
   }
 
   @Override
   public void release(ClaimKey key, String holder) {
-    change(key, holder, Json.newObject().put("expires_in_ms", 0));
+    update(key, holder, Json.newObject().put("expires_in_ms", 0));
   }
 
-  /** Best effort: a change that is lost leaves the key claimed, which is safe. */
-  private void change(ClaimKey key, String holder, ObjectNode next) {
+  /**
+   * Updates on a best-effort basis: if the update is lost, the key stays claimed, which is safe.
+   */
+  private void update(ClaimKey key, String holder, ObjectNode next) {
     read(key)
         .thenAccept(
             row -> {
@@ -92,7 +94,7 @@
             });
   }
 
-  private static ObjectNode value(ClaimKey key, String holder, String state, int status) {
+  private static ObjectNode claimValue(ClaimKey key, String holder, String state, int status) {
     return Json.newObject()
         .put("holder", holder)
         .put("fingerprint", key.requestFingerprint())
@@ -103,29 +105,29 @@
 
   private CompletableFuture<HttpResponse> commit(ClaimKey key, long version, ObjectNode value) {
     ObjectNode t = Json.newObject();
-    t.putArray("checks").addObject().put("key", row(key)).put("version", version);
-    t.putArray("writes").addObject().put("key", row(key)).set("value", value);
-    URI uri = URI.create(base + "/v1/transactions?table=claims");
-    return caller
+    t.putArray("checks").addObject().put("key", rowKey(key)).put("version", version);
+    t.putArray("writes").addObject().put("key", rowKey(key)).set("value", value);
+    URI uri = URI.create(baseUrl + "/v1/transactions?table=claims");
+    return httpClient
         .send(HttpRequest.json("POST", uri, Json.toBytes(t), timeout))
-        .thenApply(HttpClaimStore::known);
+        .thenApply(HttpClaimStore::requireKnownStatus);
   }
 
-  private static HttpResponse known(HttpResponse reply) {
-    if (reply.status() != OK && reply.status() != CONFLICT) {
-      throw new HttpException(true, "the platform answered status " + reply.status());
+  private static HttpResponse requireKnownStatus(HttpResponse response) {
+    if (response.status() != OK && response.status() != CONFLICT) {
+      throw new HttpException(true, "the platform responded with status " + response.status());
     }
-    return reply;
+    return response;
   }
 
   private CompletableFuture<JsonNode> read(ClaimKey key) {
-    URI uri = URI.create(base + "/v1/row?table=claims&key=" + row(key));
-    return caller
+    URI uri = URI.create(baseUrl + "/v1/row?table=claims&key=" + rowKey(key));
+    return httpClient
         .send(HttpRequest.get(uri, timeout))
-        .thenApply(r -> Json.parse(known(r).body()).orElse(Json.newObject()));
+        .thenApply(r -> Json.parse(requireKnownStatus(r).body()).orElse(Json.newObject()));
   }
 
-  private static String row(ClaimKey key) {
+  private static String rowKey(ClaimKey key) {
     return key.service() + "/" + key.keyDigest();
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/TableStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/TableStore.java
@@ -12,37 +12,37 @@
   /**
    * Reads the rows changed after a revision.
    *
-   * @param revision the revision the reader has; 0 reads all
+   * @param revision the revision the reader already has; 0 reads all rows
    * @return the changed rows with the revision they were read at, or an {@link
    *     dev.cactusstack.http.HttpException}
    */
   CompletableFuture<ConfigurationTable> readChanges(long revision);
 
   /**
-   * Writes rows when each still has the version it carries (0: when it does not exist).
+   * Writes rows atomically if each stored row still has the expected version (0: does not exist).
    *
-   * @param routes rows to write; each row's version is the one expected
-   * @param dataCentres rows to write; each row's version is the one expected
+   * @param routes rows to write; the version of each row is the expected one
+   * @param dataCentres rows to write; the version of each row is the expected one
    * @return the outcome, or an {@link dev.cactusstack.http.HttpException}
    */
   CompletableFuture<CommitOutcome> commit(List<Route> routes, List<DataCentreRow> dataCentres);
 
-  /** The table service's answer to a transaction. */
+  /** The outcome of a transaction. */
   sealed interface CommitOutcome {
     /**
-     * All rows are written.
+     * All rows were written.
      *
      * @param revision the revision that contains them
      */
     record Committed(long revision) implements CommitOutcome {}
 
-    /** A row had another version; nothing is written. */
+    /** A row had a different version; nothing was written. */
     record VersionMismatch() implements CommitOutcome {}
 
     /**
-     * The service refused the transaction; nothing is written.
+     * The service rejected the transaction; nothing was written.
      *
-     * @param reason its words
+     * @param reason the status and body of the response
      */
     record Rejected(String reason) implements CommitOutcome {}
   }
--- a/storage/src/main/java/dev/cactusstack/storage/package-info.java
+++ b/storage/src/main/java/dev/cactusstack/storage/package-info.java
@@ -1,7 +1,4 @@
-/**
- * What the system needs of the platform: its table service and its host list, and their HTTP
- * clients.
- */
+/** Interfaces to the platform's table service and host list, with their HTTP clients. */
 @NullMarked
 package dev.cactusstack.storage;
 
--- a/storage/src/test/java/dev/cactusstack/storage/CucumberTest.java
+++ b/storage/src/test/java/dev/cactusstack/storage/CucumberTest.java
@@ -8,7 +8,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the contract of the platform's interface. */
+/** Runs the contract tests of the platform interface. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("dev.cactusstack.storage")
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -25,7 +25,7 @@
 import java.util.TreeMap;
 import org.xnio.XnioWorker;
 
-/** Steps of the platform's contract, against the stand-in over loopback. */
+/** Steps of the platform contract tests, run against the stand-in over loopback. */
 public final class PlatformSteps {
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
   private static final Duration SHORT = Duration.ofMillis(400);
@@ -65,10 +65,10 @@
     standIn.seed(writes);
   }
 
-  /** Causes a fault. */
-  @Given("^the platform is (well|not listening|down|losing answers|slow)$")
+  /** Injects a fault. */
+  @Given("^the platform is (healthy|not listening|down|losing answers|slow)$")
   public void fault(String fault) {
-    if (!fault.equals("well")) {
+    if (!fault.equals("healthy")) {
       client = client(standIn.port(), SHORT);
     }
     switch (fault) {
@@ -92,21 +92,21 @@
   }
 
   private static String name(TableStore.CommitOutcome o) {
-    return o instanceof TableStore.CommitOutcome.Committed ? "committed" : "a mismatch";
+    return o instanceof TableStore.CommitOutcome.Committed ? "committed" : "a version mismatch";
   }
 
   private static String name(HttpException f) {
     return f.mayHaveBeenProcessed() ? "a failure, sent" : "a failure, not sent";
   }
 
-  /** Checks what the client said. */
+  /** Checks the reported outcome. */
   @Then("^the client reports (.+)$")
   public void check(String expected) {
     assertThat(report).isEqualTo(expected);
   }
 
-  /** Checks what the table has, after any slow write has ended. */
-  @Then("once the platform is well the weight is {int}")
+  /** Checks the stored weight after any slow write has completed. */
+  @Then("once the platform is healthy the weight is {int}")
   public void weight(int weight) throws InterruptedException {
     if (report.contains("failure")) {
       Thread.sleep(2 * SLOW_MS);
@@ -142,17 +142,17 @@
     standIn.unlist(address);
   }
 
-  /** Reads from the start. */
-  @Then("a reader of the list from the start knows {string} only")
+  /** Reads the whole list. */
+  @Then("a client reading the list from the start has only {string}")
   public void fromStart(String address) {
     assertThat(client.readHostChanges(0).join().applyTo(new TreeMap<>()).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
   }
 
-  /** Reads on. */
-  @Then("a reader that knew both knows {string} only")
-  public void goOn(String address) {
+  /** Reads the changes since the last read. */
+  @Then("a client that had both now has only {string}")
+  public void readOn(String address) {
     assertThat(client.readHostChanges(knownRevision).join().applyTo(known).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
