--- a/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
+++ b/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * A position in the rows of a table, in the order of (version, key).
+ * A position in the rows of a table, ordered by version and key.
  *
- * <p>A reader that follows the positions to the end has every row up to the version of the last
- * page, also when rows change meanwhile: a changed row moves to a later position. Immutable and
- * thread-safe.
+ * <p>A reader that follows the cursor to the end has every row up to the version of the last page,
+ * even if rows change during the read, because a changed row moves to a later position. Immutable
+ * and thread-safe.
  *
  * @param version the version of the last row read
  * @param key the key of the last row read
@@ -22,7 +22,7 @@
 public record ChangeCursor(long version, String key) implements Comparable<ChangeCursor> {
   private static final Comparator<ChangeCursor> ORDER =
       Comparator.comparingLong(ChangeCursor::version).thenComparing(ChangeCursor::key);
-  private static final String AFTER_ALL_KEYS = "~";
+  private static final String MAX_KEY = "~";
 
   /** Checks the key. */
   public ChangeCursor {
@@ -32,54 +32,55 @@
   /**
    * Returns the position after all rows of a version.
    *
-   * @param version the version that the reader has
+   * @param version the version the reader already has
    * @return the position
    */
   public static ChangeCursor afterVersion(long version) {
-    return new ChangeCursor(version, AFTER_ALL_KEYS);
+    return new ChangeCursor(version, MAX_KEY);
   }
 
   /**
    * Returns the position of the last row of a page.
    *
    * @param page the page
-   * @return the position to continue from, or the start when the page has no rows
+   * @return the position to continue from, or the start if the page is empty
    */
   public static ChangeCursor ofLastRow(ConfigurationTable page) {
-    return rows(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
+    return positions(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
   }
 
   /**
-   * Takes the rows after this position.
+   * Reads the rows after this position.
    *
    * @param table the table to read from
-   * @param count most rows to take
+   * @param maxRows the maximum number of rows
    * @return the page
    */
-  public LinkBody.ChangesPage readPage(ConfigurationTable table, int count) {
-    List<ChangeCursor> rest = rows(table).stream().filter(c -> c.compareTo(this) > 0).toList();
-    List<ChangeCursor> taken = rest.subList(0, Math.min(count, rest.size()));
+  public LinkBody.ChangesPage readPage(ConfigurationTable table, int maxRows) {
+    List<ChangeCursor> remaining =
+        positions(table).stream().filter(c -> c.compareTo(this) > 0).toList();
+    List<ChangeCursor> included = remaining.subList(0, Math.min(maxRows, remaining.size()));
     var routes = new TreeMap<>(table.routes());
-    routes.values().removeIf(r -> !taken.contains(of(r)));
+    routes.values().removeIf(r -> !included.contains(positionOf(r)));
     var dataCentres = new TreeMap<>(table.dataCentres());
-    dataCentres.values().removeIf(d -> !taken.contains(of(d)));
+    dataCentres.values().removeIf(d -> !included.contains(positionOf(d)));
     var page = new ConfigurationTable(table.version(), routes, dataCentres);
-    return new LinkBody.ChangesPage(page, taken.size() < rest.size());
+    return new LinkBody.ChangesPage(page, included.size() < remaining.size());
   }
 
-  private static List<ChangeCursor> rows(ConfigurationTable table) {
+  private static List<ChangeCursor> positions(ConfigurationTable table) {
     List<ChangeCursor> all = new ArrayList<>();
-    table.routes().values().forEach(r -> all.add(of(r)));
-    table.dataCentres().values().forEach(d -> all.add(of(d)));
+    table.routes().values().forEach(r -> all.add(positionOf(r)));
+    table.dataCentres().values().forEach(d -> all.add(positionOf(d)));
     all.sort(ORDER);
     return all;
   }
 
-  private static ChangeCursor of(Route r) {
+  private static ChangeCursor positionOf(Route r) {
     return new ChangeCursor(r.version(), "route/" + r.key());
   }
 
-  private static ChangeCursor of(DataCentreRow d) {
+  private static ChangeCursor positionOf(DataCentreRow d) {
     return new ChangeCursor(d.version(), "data-centre/" + d.dataCentre());
   }
 
--- a/link/src/main/java/dev/cactusstack/link/KeyRing.java
+++ b/link/src/main/java/dev/cactusstack/link/KeyRing.java
@@ -11,8 +11,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys that a host accepts; the first one signs. Keys are rotated by adding the new key last on
- * every host, then moving it first, then removing the old one.
+ * The keys that a host accepts; the first key signs. To rotate keys, append the new key on every
+ * host, then move it to the front, then remove the old key.
  *
  * <p>Immutable and thread-safe.
  */
@@ -30,21 +30,21 @@
   public KeyRing(List<LinkKey> keys) {
     this.keys = List.copyOf(keys);
     if (this.keys.isEmpty()) {
-      throw new IllegalArgumentException("a key ring has at least one key");
+      throw new IllegalArgumentException("a key ring needs at least one key");
     }
   }
 
   /**
-   * Returns the number of the key that signs.
+   * Returns the id of the signing key.
    *
-   * @return the number
+   * @return the key id
    */
   public int signingKeyId() {
     return keys.get(0).id();
   }
 
   /**
-   * Computes the tag of a message with the signing key.
+   * Computes the authentication tag of a message with the signing key.
    *
    * @param message the message
    * @return 16 bytes
@@ -55,12 +55,12 @@
   }
 
   /**
-   * Checks a tag.
+   * Verifies an authentication tag.
    *
-   * @param keyId the number of the key that made it
+   * @param keyId the id of the key that created the tag
    * @param message the message
    * @param tag the tag
-   * @return true when the key is known and made the tag
+   * @return true if the key is known and the tag is valid
    */
   public boolean verify(int keyId, byte[] message, byte[] tag) {
     Optional<LinkKey> key = keys.stream().filter(k -> k.id() == keyId).findFirst();
--- a/link/src/main/java/dev/cactusstack/link/LinkBody.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkBody.java
@@ -4,11 +4,11 @@
 import dev.cactusstack.model.ConfigurationTable;
 import java.util.Objects;
 
-/** What one datagram asks or tells. Immutable and thread-safe. */
+/** The body of a link message. Immutable and thread-safe. */
 public sealed interface LinkBody {
 
   /**
-   * A message of failure detection.
+   * A message of the failure detector.
    *
    * @param message the message
    */
@@ -20,7 +20,7 @@
   }
 
   /**
-   * Asks for table rows.
+   * Requests table rows.
    *
    * @param cursor the position to continue from
    */
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Table rows in the order of their positions.
+   * A page of table rows in cursor order.
    *
-   * @param rows the rows with the sender's table version
-   * @param hasMore whether rows remain
+   * @param rows the rows, with the table version of the sender
+   * @param hasMore whether more rows follow
    */
   record ChangesPage(ConfigurationTable rows, boolean hasMore) implements LinkBody {
     /** Checks the rows. */
--- a/link/src/main/java/dev/cactusstack/link/LinkKey.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkKey.java
@@ -18,22 +18,22 @@
   /**
    * Creates a key.
    *
-   * @param id the number that datagrams name the key by
+   * @param id the key id carried in datagrams
    * @param secret the secret
    */
   public LinkKey(int id, byte[] secret) {
     Objects.requireNonNull(secret, "secret is null");
     if (secret.length < MIN_SECRET_BYTES) {
-      throw new IllegalArgumentException("a link key has at least 16 bytes");
+      throw new IllegalArgumentException("a link key needs at least 16 bytes");
     }
     this.id = id;
     this.secret = secret.clone();
   }
 
   /**
-   * Returns the key's number.
+   * Returns the key id.
    *
-   * @return the number
+   * @return the key id
    */
   public int id() {
     return id;
--- a/link/src/main/java/dev/cactusstack/link/LinkMessage.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkMessage.java
@@ -7,9 +7,9 @@
 /**
  * A decoded datagram. Immutable and thread-safe.
  *
- * @param sender the sender's claim about itself
- * @param updates claims about other members
- * @param body what it asks or tells
+ * @param sender the state of the sender as it reports itself
+ * @param updates membership updates about other members
+ * @param body the message body
  */
 public record LinkMessage(Member sender, List<Member> updates, LinkBody body) {
 
--- a/link/src/main/java/dev/cactusstack/link/LinkTransport.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkTransport.java
@@ -22,13 +22,13 @@
 /**
  * Sends and receives signed datagrams over UDP.
  *
- * <p>Delivery is not assured: a datagram can be lost, repeated or reordered. Thread-safe.
+ * <p>Delivery is not guaranteed: datagrams can be lost, duplicated or reordered. Thread-safe.
  */
 public final class LinkTransport implements AutoCloseable {
-  /** The largest datagram that is received whole. */
+  /** The largest datagram that is received without truncation. */
   static final int MAX_DATAGRAM_BYTES = 2_048;
 
-  /** Datagram, IPv4 and UDP headers, in bytes. */
+  /** Size of the IPv4 and UDP headers. */
   private static final int HEADER_BYTES = 28;
 
   private final LinkCodec codec;
@@ -56,9 +56,9 @@
   /**
    * Binds a socket and starts to receive.
    *
-   * @param codec translates datagrams
+   * @param codec encodes and decodes datagrams
    * @param bind the address to bind
-   * @param receiver called on the transport's thread for each acceptable message
+   * @param receiver called on the event loop thread for each valid message
    * @return the running transport
    */
   public static LinkTransport open(
@@ -70,27 +70,28 @@
   }
 
   /**
-   * Sends a message without waiting, if its size is allowed.
+   * Sends a message without blocking, if its size is allowed.
    *
-   * @param to the receiver
+   * @param recipient the address to send to
    * @param m the message
-   * @param allowed decides on the size in bytes, with network headers
-   * @return the bytes sent, 0 when not allowed
+   * @param sizeAllowed tests the size in bytes, including network headers
+   * @return the number of bytes sent, or 0 if the size is not allowed
    */
-  public int send(Address to, LinkMessage m, IntPredicate allowed) {
+  public int send(Address recipient, LinkMessage m, IntPredicate sizeAllowed) {
     byte[] bytes = codec.encode(m);
-    if (!allowed.test(bytes.length + HEADER_BYTES)) {
+    if (!sizeAllowed.test(bytes.length + HEADER_BYTES)) {
       return 0;
     }
     sentByteCount.add(bytes.length + HEADER_BYTES);
     channel.writeAndFlush(
         new DatagramPacket(
-            Unpooled.wrappedBuffer(bytes), new InetSocketAddress(to.ip(), to.port())));
+            Unpooled.wrappedBuffer(bytes),
+            new InetSocketAddress(recipient.ip(), recipient.port())));
     return bytes.length + HEADER_BYTES;
   }
 
   /**
-   * Returns the bytes sent since the start, with network headers.
+   * Returns the number of bytes sent since the start, including network headers.
    *
    * @return the count
    */
@@ -99,7 +100,7 @@
   }
 
   /**
-   * Returns the number of datagrams that were not acceptable.
+   * Returns the number of rejected datagrams and receive errors.
    *
    * @return the count
    */
@@ -113,7 +114,7 @@
     group.shutdownGracefully();
   }
 
-  /** Decodes datagrams and passes on the acceptable ones. */
+  /** Decodes datagrams and passes valid messages to the receiver. */
   private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
     private final BiConsumer<Address, LinkMessage> receiver;
 
@@ -132,7 +133,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // An unreachable peer's ICMP answer surfaces here; failure detection handles the silence.
+      // ICMP errors of unreachable peers are reported here; failure detection handles such peers.
       rejectedCount.increment();
     }
   }
--- a/link/src/main/java/dev/cactusstack/link/MemberCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/MemberCodec.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Translates claims about members. Stateless and thread-safe. */
+/** Encodes and decodes member states. Stateless and thread-safe. */
 final class MemberCodec {
   private MemberCodec() {}
 
--- a/link/src/main/java/dev/cactusstack/link/TableCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/TableCodec.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Translates pages of table rows. Rows that cannot be read are passed over. Stateless. */
+/** Encodes and decodes pages of table rows. Invalid rows are skipped. Stateless. */
 final class TableCodec {
   private TableCodec() {}
 
--- a/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
+++ b/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 class LinkCodecTest {
-  private static final LinkKey OLD = new LinkKey(1, "old-secret-old-secret".getBytes());
-  private static final LinkKey NEW = new LinkKey(2, "new-secret-new-secret".getBytes());
+  private static final LinkKey OLD_KEY = new LinkKey(1, "old-secret-old-secret".getBytes());
+  private static final LinkKey NEW_KEY = new LinkKey(2, "new-secret-new-secret".getBytes());
   private static final Address ADDRESS = new Address("10.0.0.1", 7946);
-  private static final DataCentre HERE = new DataCentre("almaty-1");
+  private static final DataCentre DATA_CENTRE = new DataCentre("almaty-1");
 
   private static Member member() {
     var rates = List.of(new ServiceRate(new ServiceName("search"), 12.5f));
-    var info = new MemberInfo(3, HERE, ADDRESS, ADDRESS, ADDRESS, 7, true, rates);
+    var info = new MemberInfo(3, DATA_CENTRE, ADDRESS, ADDRESS, ADDRESS, 7, true, rates);
     return new Member(new HostId("a-1"), 99, MemberStatus.SUSPECT, info);
   }
 
@@ -41,7 +41,7 @@
       routes.put(k, new Route(k, i, 40, 4, 1 + i % 5, List.of("op")));
     }
     var dataCentres = new TreeMap<DataCentre, DataCentreRow>();
-    dataCentres.put(HERE, new DataCentreRow(HERE, true, 5, List.of("x")));
+    dataCentres.put(DATA_CENTRE, new DataCentreRow(DATA_CENTRE, true, 5, List.of("x")));
     return new ConfigurationTable(5, routes, dataCentres);
   }
 
@@ -56,18 +56,18 @@
 
   @ParameterizedTest
   @MethodSource("bodies")
-  void shouldKeepAMessageWhenEncodedAndDecoded(LinkBody body) {
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+  void shouldReturnAnEqualMessageWhenEncodedAndDecoded(LinkBody body) {
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     var m = new LinkMessage(member(), List.of(member()), body);
     assertThat(codec.decode(codec.encode(m))).contains(m);
   }
 
   @Test
-  void shouldAcceptBothKeysWhileKeysAreRotated() {
-    var before = new LinkCodec(new KeyRing(List.of(OLD)));
-    var during = new LinkCodec(new KeyRing(List.of(OLD, NEW)));
-    var after = new LinkCodec(new KeyRing(List.of(NEW, OLD)));
-    var done = new LinkCodec(new KeyRing(List.of(NEW)));
+  void shouldAcceptBothKeysWhenKeysAreBeingRotated() {
+    var before = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
+    var during = new LinkCodec(new KeyRing(List.of(OLD_KEY, NEW_KEY)));
+    var after = new LinkCodec(new KeyRing(List.of(NEW_KEY, OLD_KEY)));
+    var done = new LinkCodec(new KeyRing(List.of(NEW_KEY)));
     var m = new LinkMessage(member(), List.of(), bodies().get(0));
     assertThat(during.decode(before.encode(m))).contains(m);
     assertThat(during.decode(after.encode(m))).contains(m);
@@ -76,22 +76,23 @@
   }
 
   @Test
-  void shouldRefuseAnyChangedByte() {
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+  void shouldRejectOrIgnoreAnyChangeWhenOneByteIsChanged() {
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     byte[] good = codec.encode(new LinkMessage(member(), List.of(), bodies().get(4)));
     var random = new Random(31);
     for (int i = 0; i < 5_000; i++) {
       byte[] bad = good.clone();
       int at = random.nextInt(bad.length);
       bad[at] ^= (byte) (1 + random.nextInt(255));
-      // A change may only survive where protobuf ignores it; the content then is the same.
+      // A changed byte may be accepted only if protobuf ignores it; the decoded message is then
+      // equal.
       codec.decode(bad).ifPresent(m -> assertThat(m).isEqualTo(codec.decode(good).orElseThrow()));
     }
   }
 
   @Test
-  void shouldNeverThrowWhenBytesAreRandomOrSignedNonsense() {
-    var ring = new KeyRing(List.of(OLD));
+  void shouldNeverThrowWhenBytesAreRandomOrSignedButMalformed() {
+    var ring = new KeyRing(List.of(OLD_KEY));
     var codec = new LinkCodec(ring);
     var random = new Random(32);
     byte[] good = codec.encode(new LinkMessage(member(), List.of(member()), bodies().get(4)));
@@ -132,7 +133,7 @@
   }
 
   @Test
-  void shouldFitADatagramWhenRowsRememberAllTheirOperations() {
+  void shouldFitIntoADatagramWhenRowsRecordTheMaximumOfOperations() {
     var operations =
         java.util.stream.IntStream.range(0, Route.MAX_RECORDED_OPERATIONS)
             .mapToObj(i -> "00000000-0000-0000-0000-00000000000" + i)
@@ -145,7 +146,7 @@
     var body =
         new LinkBody.ChangesPage(
             new ConfigurationTable(Long.MAX_VALUE, routes, new TreeMap<>()), true);
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     byte[] bytes = codec.encode(new LinkMessage(member(), List.of(), body));
     assertThat(bytes.length).isLessThan(LinkTransport.MAX_DATAGRAM_BYTES);
   }
