--- a/ctl/src/main/java/dev/cactusstack/ctl/CtlOptions.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/CtlOptions.java
@@ -11,7 +11,7 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 
-/** The options of {@code bin/cactusctl}. Stateless after construction. */
+/** The command-line options of {@code bin/cactusctl}. Immutable after construction. */
 final class CtlOptions {
   static final String USAGE =
       """
@@ -21,11 +21,11 @@
       table set SERVICE DATA_CENTRE COLUMN=N...
                                           change one row (weight, limit, upstream_limit)
       table apply FILE                    change the rows that differ in an edited table
-      table watch [--once]                print how many hosts have the newest version in force
-      data-centre out NAME                take a data centre out
-      data-centre in NAME                 take it back in
+      table watch [--once]                print how many hosts use the newest version
+      data-centre out NAME                evacuate a data centre
+      data-centre in NAME                 return it to service
       status                              print hosts, data centres and upstreams
-      explain REQUEST-ID [FILE...]        tell the life of a request from logs of hosts (or from standard input)
+      explain REQUEST-ID [FILE...]        print the events of a request from host logs (or standard input)
 
       Exit codes: 0 done; 2 invalid input, nothing changed; 3 conflict, nothing changed;
       4 not accepted or outcome unknown; 5 not authorised.
@@ -43,25 +43,27 @@
       parser.accepts("format", "text, json or csv").withRequiredArg().defaultsTo("text");
   private final OptionSpec<Long> ifVersion =
       parser
-          .accepts("if-version", "only when this version is still in force")
+          .accepts("if-version", "apply the edit only if this version is still in force")
           .withRequiredArg()
           .ofType(Long.class);
   private final OptionSpec<String> operation =
       parser
-          .accepts("operation", "id of an earlier edit whose outcome is unknown")
+          .accepts("operation", "id of an earlier edit to repeat because its outcome is unknown")
           .withRequiredArg();
   private final OptionSpec<Long> timeoutS =
       parser
-          .accepts("timeout", "seconds that 'watch --once' waits")
+          .accepts("timeout", "maximum time 'watch --once' waits, in seconds")
           .withRequiredArg()
           .ofType(Long.class)
           .defaultsTo(60L);
   private final OptionSpec<String> certificate =
       parser
-          .accepts("tls-certificate", "PEM file of the certificate to trust; uses TLS")
+          .accepts("tls-certificate", "PEM file of the certificate to trust; enables TLS")
           .withRequiredArg();
-  private final OptionSpec<Void> once = parser.accepts("once", "wait until all hosts have it");
-  private final OptionSpec<Void> force = parser.accepts("force", "also take out the last one");
+  private final OptionSpec<Void> once =
+      parser.accepts("once", "exit when all hosts use the newest version");
+  private final OptionSpec<Void> force =
+      parser.accepts("force", "evacuate a data centre even if it is the last one in service");
 
   CtlOptions() {
     parser.acceptsAll(List.of("help", "h"), "show this help").forHelp();
--- a/ctl/src/main/java/dev/cactusstack/ctl/ExitCode.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/ExitCode.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.ctl;
 
-/** How a command ended. Immutable and thread-safe. */
+/** Exit codes of {@code cactusctl}. Immutable and thread-safe. */
 enum ExitCode {
-  DONE(0),
+  SUCCESS(0),
   INVALID(2),
   CONFLICT(3),
   NOT_ACCEPTED_OR_UNKNOWN(4),
--- a/ctl/src/main/java/dev/cactusstack/ctl/OperatorApiClient.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/OperatorApiClient.java
@@ -1,9 +1,9 @@
 package dev.cactusstack.ctl;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.cactusstack.http.HttpRequest;
 import dev.cactusstack.http.HttpClient;
 import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.HttpRequest;
 import dev.cactusstack.http.HttpResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
@@ -14,57 +14,58 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * The operators' ports of the entry hosts. A request goes to the next host only when the one before
- * it cannot have received it. Thread-safe.
+ * Client for the operator API of the entry hosts. An edit is sent to the next host only if the
+ * previous host cannot have received it. Thread-safe.
  */
-final class OperatorsApi {
+final class OperatorApiClient {
   private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
   private static final Duration EDIT_TIMEOUT = Duration.ofSeconds(15);
 
-  private final HttpClient caller;
+  private final HttpClient httpClient;
   private final String scheme;
   private final List<Address> hosts;
   private final Optional<String> token;
 
-  /** An answer of an entry host. */
-  record Answer(int status, JsonNode body) {}
+  /** The response of an entry host. */
+  record ApiResponse(int status, JsonNode body) {}
 
-  OperatorsApi(HttpClient caller, boolean tls, List<Address> hosts, Optional<String> token) {
-    this.caller = caller;
+  OperatorApiClient(
+      HttpClient httpClient, boolean tls, List<Address> hosts, Optional<String> token) {
+    this.httpClient = httpClient;
     this.scheme = tls ? "https://" : "http://";
     this.hosts = List.copyOf(hosts);
     this.token = token;
   }
 
-  /** Reads from the first host that answers. Throws {@link HttpException} when none does. */
-  Answer get(String path) {
-    HttpException last = new HttpException(false, "no operators' address is given");
+  /** Reads from the first host that responds. Throws {@link HttpException} if none does. */
+  ApiResponse get(String path) {
+    HttpException last = new HttpException(false, "no operator address is given");
     for (Address a : hosts) {
       try {
-        return send(HttpRequest.get(uri(a, path), READ_TIMEOUT));
+        return execute(HttpRequest.get(uri(a, path), READ_TIMEOUT));
       } catch (HttpException e) {
-        // A read changes nothing, whether or not it was received.
+        // A read has no side effects, so the next host can be tried even if this one received it.
         last = new HttpException(false, String.valueOf(e.getMessage()));
       }
     }
     throw last;
   }
 
-  /** Reads from one host; nothing when it does not answer. */
-  Optional<Answer> get(Address host, String path) {
+  /** Reads from one host; returns empty if it does not respond. */
+  Optional<ApiResponse> get(Address host, String path) {
     try {
-      return Optional.of(send(HttpRequest.get(uri(host, path), READ_TIMEOUT)));
+      return Optional.of(execute(HttpRequest.get(uri(host, path), READ_TIMEOUT)));
     } catch (HttpException e) {
       return Optional.empty();
     }
   }
 
-  /** Changes something. Throws {@link HttpException} when no host answers. */
-  Answer post(String path, JsonNode body) {
-    HttpException last = new HttpException(false, "no operators' address is given");
+  /** Sends an edit. Throws {@link HttpException} if no host responds. */
+  ApiResponse post(String path, JsonNode body) {
+    HttpException last = new HttpException(false, "no operator address is given");
     for (Address a : hosts) {
       try {
-        return send(HttpRequest.json("POST", uri(a, path), Json.toBytes(body), EDIT_TIMEOUT));
+        return execute(HttpRequest.json("POST", uri(a, path), Json.toBytes(body), EDIT_TIMEOUT));
       } catch (HttpException e) {
         if (e.mayHaveBeenProcessed()) {
           throw e;
@@ -79,18 +80,20 @@
     return URI.create(scheme + a + path);
   }
 
-  private Answer send(HttpRequest call) {
-    HttpRequest signed = token.map(t -> call.withHeader("Authorization", "Bearer " + t)).orElse(call);
-    HttpResponse reply;
+  private ApiResponse execute(HttpRequest request) {
+    HttpRequest authorizedRequest =
+        token.map(t -> request.withHeader("Authorization", "Bearer " + t)).orElse(request);
+    HttpResponse response;
     try {
-      reply = caller.send(signed).join();
+      response = httpClient.send(authorizedRequest).join();
     } catch (CompletionException e) {
       throw HttpException.from(e);
     }
     JsonNode body =
-        Json.parse(reply.body())
+        Json.parse(response.body())
             .orElseThrow(
-                () -> new HttpException(true, "the answer of " + call.uri() + " is not JSON"));
-    return new Answer(reply.status(), body);
+                () ->
+                    new HttpException(true, "the response from " + request.uri() + " is not JSON"));
+    return new ApiResponse(response.status(), body);
   }
 }
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
@@ -14,16 +14,15 @@
 import java.util.Optional;
 import java.util.Set;
 
-/**
- * Reads a table that an operator has edited, in the form that {@code table show} printed as CSV or
- * JSON. Stateless.
- */
+/** Parses an edited table in the CSV or JSON format of {@code table show}. Stateless. */
 final class TableFile {
   private TableFile() {}
 
   static Result<List<TableRow>> parse(String text) {
     boolean json = text.stripLeading().startsWith("{");
-    return (json ? json(text) : csv(text)).flatMap(TableFile::rows).flatMap(TableFile::distinct);
+    return (json ? json(text) : csv(text))
+        .flatMap(TableFile::rows)
+        .flatMap(TableFile::requireDistinctRows);
   }
 
   private static Result<ArrayNode> json(String text) {
@@ -35,8 +34,7 @@
             () ->
                 Result.failure(
                     Problem.invalid(
-                        "the file is not a table in JSON",
-                        "start from 'table show --format json'")));
+                        "the file is not a JSON table", "start from 'table show --format json'")));
   }
 
   private static Result<ArrayNode> csv(String text) {
@@ -45,7 +43,7 @@
     if (lines.isEmpty() || !lines.get(0).equals(String.join(",", header))) {
       return Result.failure(
           Problem.invalid(
-              "the file's first line is not the header",
+              "the first line of the file is not the expected header",
               "start from 'table show --format csv'; its header is " + String.join(",", header)));
     }
     ArrayNode rows = Json.newObject().putArray("rows");
@@ -55,7 +53,7 @@
         return Result.failure(
             Problem.invalid(
                 "line " + (i + 1) + " has " + cells.length + " cells",
-                "give " + header.size() + " cells in each line"));
+                "write " + header.size() + " cells in each line"));
       }
       ObjectNode row = rows.addObject();
       for (int c = 0; c < cells.length; c++) {
@@ -77,26 +75,26 @@
     return Result.success(rows);
   }
 
-  private static Result<List<TableRow>> distinct(List<TableRow> rows) {
+  private static Result<List<TableRow>> requireDistinctRows(List<TableRow> rows) {
     Set<RouteKey> seen = new HashSet<>();
     for (TableRow r : rows) {
       if (!seen.add(r.key())) {
         return Result.failure(
             Problem.invalid(
-                "row " + r.key() + " stands twice",
+                "row " + r.key() + " occurs twice",
                 "keep one line for each service and data centre"));
       }
     }
     return Result.success(rows);
   }
 
-  /** The rows that differ from the table; every row of the table must be in the file. */
-  static Result<List<TableRow>> changed(List<TableRow> file, List<TableRow> table) {
+  /** Returns the rows that differ from the table. The file must contain every row of the table. */
+  static Result<List<TableRow>> changedRows(List<TableRow> file, List<TableRow> table) {
     for (TableRow t : table) {
       if (file.stream().noneMatch(f -> f.key().equals(t.key()))) {
         return Result.failure(
             Problem.invalid(
-                "row " + t.key() + " is missing", "give every row that 'table show' lists"));
+                "row " + t.key() + " is missing", "include every row that 'table show' lists"));
       }
     }
     return Result.success(
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableFormat.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableFormat.java
@@ -10,9 +10,9 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** How the table is printed. Stateless and thread-safe. */
+/** Output formats of the table. Stateless and thread-safe. */
 enum TableFormat {
-  /** Aligned columns for reading. */
+  /** Text in aligned columns. */
   TEXT {
     @Override
     List<String> render(long version, List<TableRow> rows) {
@@ -25,17 +25,17 @@
       return lines;
     }
   },
-  /** One JSON document. */
+  /** A JSON document. */
   JSON {
     @Override
     List<String> render(long version, List<TableRow> rows) {
       ObjectNode n = Json.newObject().put("version", version);
       ArrayNode list = n.putArray("rows");
-      rows.forEach(r -> list.add(r.json()));
+      rows.forEach(r -> list.add(r.toJson()));
       return List.of(new String(Json.toBytes(n), StandardCharsets.UTF_8));
     }
   },
-  /** Comma-separated values for a spreadsheet. */
+  /** Comma-separated values. */
   CSV {
     @Override
     List<String> render(long version, List<TableRow> rows) {
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
@@ -14,11 +14,11 @@
 import java.util.TreeMap;
 
 /**
- * A row of the table as operators see it. Immutable and thread-safe.
+ * A row of the configuration table as shown to operators. Immutable and thread-safe.
  *
- * @param key the row's identity
- * @param values its values by column
- * @param version the table revision that last changed it
+ * @param key the service and data centre of the row
+ * @param values the values by column
+ * @param version the table version that last changed the row
  */
 record TableRow(RouteKey key, SortedMap<RouteColumn, Integer> values, long version) {
   TableRow {
@@ -50,11 +50,11 @@
     } catch (NumberFormatException e) {
       return Result.failure(
           Problem.invalid(
-              "row " + key + " has no version", "keep the version column that 'table show' gave"));
+              "row " + key + " has no version", "keep the version column of 'table show'"));
     }
   }
 
-  ObjectNode json() {
+  ObjectNode toJson() {
     ObjectNode n =
         Json.newObject()
             .put("service", key.service().value())
@@ -63,8 +63,8 @@
     return n.put("version", version);
   }
 
-  /** The row as an edit that replaces all values, if its version is still the same. */
-  ObjectNode edit() {
+  /** Returns an edit that replaces all values if the version of the row is unchanged. */
+  ObjectNode toEdit() {
     ObjectNode n =
         Json.newObject()
             .put("service", key.service().value())
--- a/ctl/src/main/java/dev/cactusstack/ctl/package-info.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** The command-line tool for operators. */
 @NullMarked
 package dev.cactusstack.ctl;
 
