--- a/ctl/src/main/java/dev/cactusstack/ctl/ExplainCommand.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/ExplainCommand.java
@@ -119,9 +119,9 @@
   }
 
   /** A line that may be relevant. */
-  private record UnparsedLine(String line, String host, long order) {
+  private record UnparsedLine(String line, String host, long sequence) {
     Optional<LogLine> parse() {
-      return LogLine.parse(line, host, order);
+      return LogLine.parse(line, host, sequence);
     }
   }
 }
