--- a/bench/src/main/java/dev/cactusstack/bench/BenchMain.java
+++ b/bench/src/main/java/dev/cactusstack/bench/BenchMain.java
@@ -59,7 +59,7 @@
       case "list" -> list();
       case "platform" -> StandInCommands.platform(o);
       case "upstream" -> StandInCommands.upstream(o);
-      default -> scenario(name, o);
+      default -> runScenario(name, o);
     }
   }
 
@@ -71,7 +71,7 @@
     System.out.println("upstream: one upstream stand-in (--port N --service S --data-centre D)");
   }
 
-  private static void scenario(String name, OptionSet o) throws Exception {
+  private static void runScenario(String name, OptionSet o) throws Exception {
     Optional<Scenarios> s = Scenarios.ofLabel(name);
     Optional<Deployment> d = Deployment.ofName((String) o.valueOf("deployment"));
     int seconds = (Integer) o.valueOf("seconds");
--- a/bench/src/main/java/dev/cactusstack/bench/MeasuringScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ControlCostScenario.java
@@ -4,9 +4,9 @@
 import java.lang.management.ManagementFactory;
 
 /** What control costs: bytes between hosts, probes at upstreams, processor time. */
-final class MeasuringScenario implements Scenario {
-  private static final double BUSY_SHARE = 0.3;
-  private static final double CORE_BUDGET = 0.022;
+final class ControlCostScenario implements Scenario {
+  private static final double UTILIZATION = 0.3;
+  private static final double CPU_CORE_SHARE_BUDGET = 0.022;
   private static final int WARM_UP_SECONDS = 20;
 
   /** The cost of control for one host. */
@@ -14,17 +14,17 @@
       int hosts,
       double linkBytes,
       double platformBytes,
-      double crossBytes,
+      double interDataCentreBytes,
       double cpuShare,
-      long refused,
+      long droppedMessages,
       int budgetBytes) {
 
-    double bytes() {
+    double totalBytes() {
       return linkBytes + platformBytes;
     }
 
-    long exceeded() {
-      return refused + (bytes() > budgetBytes ? 1 : 0) + (cpuShare > CORE_BUDGET ? 1 : 0);
+    long exceededBudgets() {
+      return droppedMessages + (totalBytes() > budgetBytes ? 1 : 0) + (cpuShare > CPU_CORE_SHARE_BUDGET ? 1 : 0);
     }
   }
 
@@ -32,41 +32,41 @@
   public ResultLine run(BenchOptions o) throws Exception {
     Cost c = measure(o);
     return ResultLine.of("measuring", o)
-        .with("bytes_per_host_s", c.bytes())
+        .with("bytes_per_host_s", c.totalBytes())
         .with("link_bytes_per_host_s", c.linkBytes())
         .with("platform_bytes_per_host_s", c.platformBytes())
-        .with("cross_dc_bytes_per_host_s", c.crossBytes())
+        .with("cross_dc_bytes_per_host_s", c.interDataCentreBytes())
         // The system sends no probes to upstreams: requests themselves are the evidence.
         .with("probe_ms_per_upstream_s", 0.0)
         .with("cpu_core_share", c.cpuShare())
-        .with("budget_exceeded", c.exceeded());
+        .with("budget_exceeded", c.exceededBudgets());
   }
 
   static Cost measure(BenchOptions o) throws InterruptedException {
-    try (var stage = new Stage(o, "")) {
-      stage.load(o, BUSY_SHARE, WARM_UP_SECONDS, o.seed());
-      long sent = stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum();
-      long cross = stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum();
-      long refused = stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum();
-      long platform = stage.site.platform().bytes();
-      long cpu = controlNanos();
+    try (var stage = new BenchCluster(o, "")) {
+      stage.runLoad(o, UTILIZATION, WARM_UP_SECONDS, o.seed());
+      long linkBytesBefore = stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum();
+      long crossBytesBefore = stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum();
+      long droppedBefore = stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum();
+      long platformBytesBefore = stage.standIns.platform().responseBytes();
+      long cpuNanosBefore = controlCpuNanos();
       long start = System.nanoTime();
-      stage.load(o, BUSY_SHARE, o.seconds(), o.seed() + 1);
+      stage.runLoad(o, UTILIZATION, o.seconds(), o.seed() + 1);
       double hostSeconds = (System.nanoTime() - start) / 1e9 * stage.hosts().size();
       return new Cost(
           stage.hosts().size(),
-          (stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum() - sent) / hostSeconds,
-          (stage.site.platform().bytes() - platform) / hostSeconds,
-          (stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum() - cross)
+          (stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum() - linkBytesBefore) / hostSeconds,
+          (stage.standIns.platform().responseBytes() - platformBytesBefore) / hostSeconds,
+          (stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum() - crossBytesBefore)
               / hostSeconds,
-          (controlNanos() - cpu) / 1e9 / hostSeconds,
-          stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum() - refused,
+          (controlCpuNanos() - cpuNanosBefore) / 1e9 / hostSeconds,
+          stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum() - droppedBefore,
           stage.hosts().get(0).settings().link().maxBytesPerSecond());
     }
   }
 
   /** Processor time of the control loops, the hosts' links and the control clients. */
-  private static long controlNanos() {
+  private static long controlCpuNanos() {
     var beans = ManagementFactory.getThreadMXBean();
     long sum = 0;
     for (long id : beans.getAllThreadIds()) {
--- a/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/HostOverheadScenario.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.FreePorts;
-import dev.cactusstack.embedded.Site;
+import dev.cactusstack.embedded.StandInEnvironment;
 import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.standin.Deployment;
 import io.undertow.Undertow;
@@ -23,64 +23,64 @@
  *
  * <p>The processor time of a side is that of its own threads, told apart by their names.
  */
-final class SpeedScenario implements Scenario {
-  private static final int STEADY_PER_SECOND = 2_000;
+final class HostOverheadScenario implements Scenario {
+  private static final int REQUESTS_PER_SECOND = 2_000;
   private static final int WARM_UP_SECONDS = 6;
-  private static final int CALLERS_IN_LOOP = 32;
+  private static final int CONCURRENT_CALLERS = 32;
   private static final long TIMEOUT_MS = 10_000;
-  private static final long READY_MS = 20_000;
+  private static final long READY_TIMEOUT_MS = 20_000;
 
   @Override
   public ResultLine run(BenchOptions o) throws Exception {
-    try (Site site = Site.startWith(Deployment.QAZYNA, Site.QUICK, o.seed());
+    try (StandInEnvironment standIns = StandInEnvironment.startModified(Deployment.QAZYNA, StandInEnvironment.FAST_UPSTREAMS, o.seed());
         var client = new LoadClient(3, TIMEOUT_MS);
         var hosts =
             EmbeddedHosts.start(
-                site, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
-      if (!hosts.awaitReady(READY_MS)) {
+                standIns, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
+      if (!hosts.awaitReady(READY_TIMEOUT_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
       String host = hosts.hosts().get(0).callersAddress().toString();
-      String direct = site.upstreams().get(0).address();
-      steady(client, host, WARM_UP_SECONDS);
-      steady(client, direct, WARM_UP_SECONDS);
-      Phase throughHost = steady(client, host, o.seconds());
-      Phase straight = steady(client, direct, o.seconds());
+      String directAddress = standIns.upstreams().get(0).address();
+      measureLatency(client, host, WARM_UP_SECONDS);
+      measureLatency(client, directAddress, WARM_UP_SECONDS);
+      LoadPhase hostPhase = measureLatency(client, host, o.seconds());
+      LoadPhase directPhase = measureLatency(client, directAddress, o.seconds());
       Undertow empty = emptyServer();
       String emptyAddress =
           "127.0.0.1:"
               + ((java.net.InetSocketAddress) empty.getListenerInfo().get(0).getAddress())
                   .getPort();
-      loop(client, host, WARM_UP_SECONDS, "XNIO-");
-      double hostPerCore = loop(client, host, o.seconds(), "XNIO-");
-      loop(client, emptyAddress, WARM_UP_SECONDS, "empty");
-      double emptyPerCore = loop(client, emptyAddress, o.seconds(), "empty");
+      measureCallsPerCore(client, host, WARM_UP_SECONDS, "XNIO-");
+      double hostPerCore = measureCallsPerCore(client, host, o.seconds(), "XNIO-");
+      measureCallsPerCore(client, emptyAddress, WARM_UP_SECONDS, "empty");
+      double emptyPerCore = measureCallsPerCore(client, emptyAddress, o.seconds(), "empty");
       empty.stop();
       return ResultLine.of("speed", o)
-          .with("direct_p99_ms", straight.latencyMs(99))
-          .with("added_p50_ms", throughHost.latencyMs(50) - straight.latencyMs(50))
-          .with("added_p99_ms", throughHost.latencyMs(99) - straight.latencyMs(99))
-          .with("added_p999_ms", throughHost.latencyMs(99.9) - straight.latencyMs(99.9))
+          .with("direct_p99_ms", directPhase.latencyMs(99))
+          .with("added_p50_ms", hostPhase.latencyMs(50) - directPhase.latencyMs(50))
+          .with("added_p99_ms", hostPhase.latencyMs(99) - directPhase.latencyMs(99))
+          .with("added_p999_ms", hostPhase.latencyMs(99.9) - directPhase.latencyMs(99.9))
           .with("host_calls_per_core_s", hostPerCore)
           .with("empty_calls_per_core_s", emptyPerCore)
           .with("per_core_vs_empty", hostPerCore / emptyPerCore)
-          .with("failed", throughHost.failed());
+          .with("failed", hostPhase.failed());
     }
   }
 
   /** Calls through one host for each second of its processor time. */
   static double hostCallsPerCore(BenchOptions o) throws Exception {
-    try (Site site = Site.startWith(Deployment.QAZYNA, Site.QUICK, o.seed());
+    try (StandInEnvironment standIns = StandInEnvironment.startModified(Deployment.QAZYNA, StandInEnvironment.FAST_UPSTREAMS, o.seed());
         var client = new LoadClient(3, TIMEOUT_MS);
         var hosts =
             EmbeddedHosts.start(
-                site, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
-      if (!hosts.awaitReady(READY_MS)) {
+                standIns, 1, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
+      if (!hosts.awaitReady(READY_TIMEOUT_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
       String host = hosts.hosts().get(0).callersAddress().toString();
-      loop(client, host, WARM_UP_SECONDS, "XNIO-");
-      return loop(client, host, o.seconds(), "XNIO-");
+      measureCallsPerCore(client, host, WARM_UP_SECONDS, "XNIO-");
+      return measureCallsPerCore(client, host, o.seconds(), "XNIO-");
     }
   }
 
@@ -97,46 +97,46 @@
     return u;
   }
 
-  private static Phase steady(LoadClient client, String address, int seconds)
+  private static LoadPhase measureLatency(LoadClient client, String address, int seconds)
       throws InterruptedException {
     var plan = new ArrayList<Arrival>();
-    for (int i = 0; i < STEADY_PER_SECOND * seconds; i++) {
-      plan.add(new Arrival(i * (TimeUnit.SECONDS.toNanos(1) / STEADY_PER_SECOND), "search", i));
+    for (int i = 0; i < REQUESTS_PER_SECOND * seconds; i++) {
+      plan.add(new Arrival(i * (TimeUnit.SECONDS.toNanos(1) / REQUESTS_PER_SECOND), "search", i));
     }
-    Policy policy = (a, done) -> client.send(LoadClient.Call.get(address, a.service(), "/"), done);
-    var phase = new Phase();
-    phase.play(List.copyOf(plan), 0, policy, (a, r) -> {});
+    RequestPolicy policy = (a, done) -> client.send(LoadClient.Call.get(address, a.service(), "/"), done);
+    var phase = new LoadPhase();
+    phase.execute(List.copyOf(plan), 0, policy, (a, r) -> {});
     return phase;
   }
 
   /** Calls for each second of processor time of the threads with the given name. */
-  private static double loop(LoadClient client, String address, int seconds, String threads)
+  private static double measureCallsPerCore(LoadClient client, String address, int seconds, String threadPrefix)
       throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-    long before = cpuNanos(threads);
+    long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+    long cpuNanosBefore = cpuNanos(threadPrefix);
     var calls = new AtomicLong();
-    var left = new CountDownLatch(CALLERS_IN_LOOP);
-    for (int i = 0; i < CALLERS_IN_LOOP; i++) {
-      again(client, address, end, calls, left);
+    var activeCallers = new CountDownLatch(CONCURRENT_CALLERS);
+    for (int i = 0; i < CONCURRENT_CALLERS; i++) {
+      callRepeatedly(client, address, endNanos, calls, activeCallers);
     }
-    left.await(seconds + 30L, TimeUnit.SECONDS);
-    double cores = (cpuNanos(threads) - before) / 1e9;
+    activeCallers.await(seconds + 30L, TimeUnit.SECONDS);
+    double cpuSeconds = (cpuNanos(threadPrefix) - cpuNanosBefore) / 1e9;
     System.out.println(
-        "loop address=" + address + " calls=" + calls + " busy_cores=" + cores / seconds);
-    return calls.get() / cores;
+        "loop address=" + address + " calls=" + calls + " busy_cores=" + cpuSeconds / seconds);
+    return calls.get() / cpuSeconds;
   }
 
-  private static void again(
-      LoadClient client, String address, long end, AtomicLong calls, CountDownLatch left) {
-    if (System.nanoTime() >= end) {
-      left.countDown();
+  private static void callRepeatedly(
+      LoadClient client, String address, long endNanos, AtomicLong calls, CountDownLatch activeCallers) {
+    if (System.nanoTime() >= endNanos) {
+      activeCallers.countDown();
       return;
     }
     client.send(
         LoadClient.Call.get(address, "search", "/"),
         r -> {
           calls.incrementAndGet();
-          again(client, address, end, calls, left);
+          callRepeatedly(client, address, endNanos, calls, activeCallers);
         });
   }
 
--- a/bench/src/main/java/dev/cactusstack/bench/AlonePolicy.java
+++ b/bench/src/main/java/dev/cactusstack/bench/IndependentHostsPolicy.java
@@ -14,58 +14,58 @@
  * A baseline: each of several hosts decides alone, on its own counts, and no host stands between
  * callers and upstreams. Thread-safe.
  */
-final class AlonePolicy implements Policy {
+final class IndependentHostsPolicy implements RequestPolicy {
   private final LoadClient client;
-  private final LoadBalancingPolicy picks;
-  private final List<Map<String, Group>> hosts = new ArrayList<>();
+  private final LoadBalancingPolicy loadBalancing;
+  private final List<Map<String, UpstreamGroup>> groupsByHost = new ArrayList<>();
 
   /** One host's view of a service's upstreams. */
-  private static final class Group {
+  private static final class UpstreamGroup {
     private final List<UpstreamStandIn> upstreams = new ArrayList<>();
     private final List<AtomicInteger> inFlight = new ArrayList<>();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger rotation = new AtomicInteger();
 
-    synchronized int pick(LoadBalancingPolicy picks) {
-      List<UpstreamSnapshot> views =
+    synchronized int pick(LoadBalancingPolicy loadBalancing) {
+      List<UpstreamSnapshot> snapshots =
           inFlight.stream()
               .map(n -> new UpstreamSnapshot(n.get(), Integer.MAX_VALUE, 1, 0, 0, 0))
               .toList();
-      int at = picks.pick(views, turn.getAndIncrement(), 1).orElseThrow();
-      inFlight.get(at).incrementAndGet();
-      return at;
+      int index = loadBalancing.pick(snapshots, rotation.getAndIncrement(), 1).orElseThrow();
+      inFlight.get(index).incrementAndGet();
+      return index;
     }
   }
 
-  AlonePolicy(
+  IndependentHostsPolicy(
       LoadClient client,
-      LoadBalancingPolicy picks,
+      LoadBalancingPolicy loadBalancing,
       List<UpstreamStandIn> upstreams,
       int hostCount) {
     this.client = client;
-    this.picks = picks;
+    this.loadBalancing = loadBalancing;
     for (int i = 0; i < hostCount; i++) {
-      var groups = new HashMap<String, Group>();
+      var groups = new HashMap<String, UpstreamGroup>();
       for (UpstreamStandIn u : upstreams) {
-        Group g = groups.computeIfAbsent(u.traits().service(), s -> new Group());
+        UpstreamGroup g = groups.computeIfAbsent(u.spec().service(), s -> new UpstreamGroup());
         g.upstreams.add(u);
         g.inFlight.add(new AtomicInteger());
         // Hosts start at different places, as they would after different histories.
-        g.turn.set(i * 3);
+        g.rotation.set(i * 3);
       }
-      hosts.add(groups);
+      groupsByHost.add(groups);
     }
   }
 
   @Override
-  public void send(Arrival a, Consumer<CallResult> done) {
-    Group g =
-        java.util.Objects.requireNonNull(hosts.get(a.caller() % hosts.size()).get(a.service()));
-    int at = g.pick(picks);
+  public void send(Arrival a, Consumer<CallResult> onDone) {
+    UpstreamGroup g =
+        java.util.Objects.requireNonNull(groupsByHost.get(a.caller() % groupsByHost.size()).get(a.service()));
+    int index = g.pick(loadBalancing);
     client.send(
-        LoadClient.Call.get(g.upstreams.get(at).address(), a.service(), "/"),
+        LoadClient.Call.get(g.upstreams.get(index).address(), a.service(), "/"),
         r -> {
-          g.inFlight.get(at).decrementAndGet();
-          done.accept(r);
+          g.inFlight.get(index).decrementAndGet();
+          onDone.accept(r);
         });
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
+++ b/bench/src/main/java/dev/cactusstack/bench/RoutingStateBenchmark.java
@@ -33,23 +33,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** Runs one host's controllers over a table and a host list of a given size, without a network. */
-final class DesignSizeState {
+final class RoutingStateBenchmark {
   private static final long READ_INTERVAL_MS = 100;
-  private static final long SETTLE_MS = 3_000;
+  private static final long WARM_UP_MS = 3_000;
   private static final double BYTES_PER_MB = 1 << 20;
 
-  private DesignSizeState() {}
+  private RoutingStateBenchmark() {}
 
   /** What one size costs. */
   record Cost(
       int routes, double cpuMsPerChange, double heapMb, double bytesPerRow, double bytesPerHost) {}
 
-  static Cost measure(int services, int dataCentres, int servers, int seconds)
+  static Cost measure(int services, int dataCentres, int upstreamCount, int seconds)
       throws InterruptedException {
-    long heapBefore = usedHeap();
+    long heapBefore = usedHeapBytes();
     var loop = new ControlLoop("design-size", Ticker.SYSTEM);
     var store = new ChangingStore(table(services, dataCentres));
-    var hosts = hosts(services, dataCentres, servers);
+    var hosts = hosts(services, dataCentres, upstreamCount);
     var members = new MembershipController(self(), (to, m) -> {}, Ticker.SYSTEM, new Random(1));
     var configuration =
         new ConfigurationController(
@@ -67,25 +67,25 @@
     var rates = new RatesController(new ArrivalCounter(), members, Ticker.SYSTEM);
     var controllers = new Controllers(loop, members, configuration, upstreams, rates);
     loop.start();
-    TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-    long cpu = loopNanos();
+    TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
+    long cpuNanosBefore = loopCpuNanos();
     long version = controllers.configuration().inForce().version();
     TimeUnit.SECONDS.sleep(seconds);
     double changes = controllers.configuration().inForce().version() - version;
-    double cpuMs = (loopNanos() - cpu) / 1e6;
-    double heap = (usedHeap() - heapBefore) / BYTES_PER_MB;
+    double cpuMs = (loopCpuNanos() - cpuNanosBefore) / 1e6;
+    double heapMegabytes = (usedHeapBytes() - heapBefore) / BYTES_PER_MB;
     int routes = controllers.configuration().inForce().routes().size();
     loop.close();
-    return new Cost(routes, cpuMs / Math.max(1, changes), heap, rowBytes(), hostBytes());
+    return new Cost(routes, cpuMs / Math.max(1, changes), heapMegabytes, rowBytes(), hostBytes());
   }
 
-  private static long usedHeap() {
+  private static long usedHeapBytes() {
     System.gc();
     var r = Runtime.getRuntime();
     return r.totalMemory() - r.freeMemory();
   }
 
-  private static long loopNanos() {
+  private static long loopCpuNanos() {
     var beans = ManagementFactory.getThreadMXBean();
     long sum = 0;
     for (long id : beans.getAllThreadIds()) {
@@ -124,9 +124,9 @@
     return new ConfigurationTable(1, routes, rows);
   }
 
-  private static List<ListedHost> hosts(int services, int dataCentres, int servers) {
+  private static List<ListedHost> hosts(int services, int dataCentres, int upstreamCount) {
     var hosts = new ArrayList<ListedHost>();
-    for (int i = 0; i < servers; i++) {
+    for (int i = 0; i < upstreamCount; i++) {
       hosts.add(
           new ListedHost(
               ListedHost.Role.UPSTREAM,
--- a/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
+++ b/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
@@ -6,9 +6,9 @@
 import dev.cactusstack.http.Json;
 import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.standin.PlatformStandIn;
-import dev.cactusstack.standin.RunLog;
+import dev.cactusstack.standin.ExecutionCounter;
 import dev.cactusstack.standin.UpstreamStandIn;
-import dev.cactusstack.standin.UpstreamTraits;
+import dev.cactusstack.standin.UpstreamSpec;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Random;
@@ -27,9 +27,9 @@
       JsonNode n =
           Json.parse(bytes)
               .orElseThrow(() -> new IllegalArgumentException("the hosts file is not JSON"));
-      n.path("hosts").fields().forEachRemaining(e -> p.list(e.getKey(), (ObjectNode) e.getValue()));
+      n.path("hosts").fields().forEachRemaining(e -> p.registerHost(e.getKey(), (ObjectNode) e.getValue()));
       if (n.path("writes").isArray()) {
-        p.seed((ArrayNode) n.path("writes"));
+        p.writeRows((ArrayNode) n.path("writes"));
       }
     }
     System.out.println("event=ready platform=127.0.0.1:" + p.port());
@@ -38,8 +38,8 @@
 
   static void upstream(OptionSet o) throws Exception {
     XnioWorker worker = XnioWorkers.createDaemonWorker("upstream", 1);
-    var traits =
-        new UpstreamTraits(
+    var spec =
+        new UpstreamSpec(
             (String) o.valueOf("service"),
             (String) o.valueOf("data-centre"),
             (Integer) o.valueOf("slots"),
@@ -50,8 +50,8 @@
     var random = new Random((Long) o.valueOf("seed"));
     UpstreamStandIn u =
         UpstreamStandIn.start(
-            traits, (Integer) o.valueOf("port"), worker, new RunLog(), random, o.has("cold"));
-    System.out.println("event=ready upstream=" + u.address() + " service=" + traits.service());
+            spec, (Integer) o.valueOf("port"), worker, new ExecutionCounter(), random, o.has("cold"));
+    System.out.println("event=ready upstream=" + u.address() + " service=" + spec.service());
     Thread.currentThread().join();
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/TailScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/TailLatencyScenario.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.embedded.EmbeddedHosts;
-import dev.cactusstack.embedded.Site;
+import dev.cactusstack.embedded.StandInEnvironment;
 import dev.cactusstack.standin.UpstreamStandIn;
 import java.util.List;
 import java.util.Map;
@@ -12,59 +12,59 @@
  * Tail latency of the current policy against round-robin, least-loaded and an all-knowing picker,
  * on the same arrivals with the same slow-downs.
  */
-final class TailScenario implements Scenario {
-  private static final double BUSY_SHARE = 0.7;
-  private static final double LIGHT_SHARE = 0.1;
+final class TailLatencyScenario implements Scenario {
+  private static final double UTILIZATION = 0.7;
+  private static final double LIGHT_UTILIZATION = 0.1;
   private static final int WARM_UP_SECONDS = 3;
   private static final int LIGHT_SECONDS = 4;
   private static final long TIMEOUT_MS = 20_000;
-  private static final long READY_MS = 20_000;
+  private static final long READY_TIMEOUT_MS = 20_000;
   private static final int CLIENT_THREADS = 2;
 
   @Override
   public ResultLine run(BenchOptions o) throws Exception {
-    try (Site site = Site.start(o.deployment(), o.scale(), o.seed());
+    try (StandInEnvironment standIns = StandInEnvironment.start(o.deployment(), o.scale(), o.seed());
         var client = new LoadClient(CLIENT_THREADS, TIMEOUT_MS)) {
-      List<UpstreamStandIn> ups = site.upstreams();
+      List<UpstreamStandIn> upstreamStandIns = standIns.upstreams();
       int hostCount = o.deployment().entryHosts() * o.scale();
-      Phase roundRobin =
-          play(
+      LoadPhase roundRobin =
+          runPolicy(
               o,
               "round-robin",
-              site,
-              new AlonePolicy(client, LoadBalancingPolicy.ROUND_ROBIN, ups, hostCount));
-      Phase leastLoaded =
-          play(
+              standIns,
+              new IndependentHostsPolicy(client, LoadBalancingPolicy.ROUND_ROBIN, upstreamStandIns, hostCount));
+      LoadPhase leastLoaded =
+          runPolicy(
               o,
               "least-loaded",
-              site,
-              new AlonePolicy(client, LoadBalancingPolicy.LEAST_LOADED, ups, hostCount));
-      Phase allKnowing = play(o, "all-knowing", site, new AllKnowingPolicy(client, ups));
+              standIns,
+              new IndependentHostsPolicy(client, LoadBalancingPolicy.LEAST_LOADED, upstreamStandIns, hostCount));
+      LoadPhase oracle = runPolicy(o, "all-knowing", standIns, new OraclePolicy(client, upstreamStandIns));
       try (var hosts =
           EmbeddedHosts.start(
-              site, hostCount, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
-        if (!hosts.awaitReady(READY_MS)) {
+              standIns, hostCount, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), "")) {
+        if (!hosts.awaitReady(READY_TIMEOUT_MS)) {
           throw new IllegalStateException("the entry hosts are not ready");
         }
         var policy =
-            new EntryPolicy(
+            new EntryHostPolicy(
                 client, hosts.hosts().stream().map(h -> h.callersAddress().toString()).toList());
-        Phase light = new Phase();
-        light.play(
-            Arrivals.plan(
-                o.deployment(), o.scale(), LIGHT_SHARE, WARM_UP_SECONDS + LIGHT_SECONDS, o.seed()),
+        LoadPhase light = new LoadPhase();
+        light.execute(
+            ArrivalPlanner.plan(
+                o.deployment(), o.scale(), LIGHT_UTILIZATION, WARM_UP_SECONDS + LIGHT_SECONDS, o.seed()),
             TimeUnit.SECONDS.toNanos(WARM_UP_SECONDS),
             policy,
             (a, r) -> {});
-        Phase current = play(o, "current", site, policy);
-        long overSlots = ups.stream().mapToLong(UpstreamStandIn::overSlots).sum();
+        LoadPhase current = runPolicy(o, "current", standIns, policy);
+        long overSlots = upstreamStandIns.stream().mapToLong(UpstreamStandIn::arrivalsOverCapacity).sum();
         return ResultLine.of("tail", o)
             .with("p50_ms", current.latencyMs(50))
             .with("p99_ms", current.latencyMs(99))
             .with("p999_ms", current.latencyMs(99.9))
             .with("p99_vs_round_robin", current.latencyMs(99) / roundRobin.latencyMs(99))
             .with("p99_vs_least_loaded", current.latencyMs(99) / leastLoaded.latencyMs(99))
-            .with("p99_vs_all_knowing", current.latencyMs(99) / allKnowing.latencyMs(99))
+            .with("p99_vs_all_knowing", current.latencyMs(99) / oracle.latencyMs(99))
             .with("over_slots", overSlots)
             .with("added_p99_ms", light.addedMs(99))
             .with("failed", current.failed())
@@ -73,28 +73,28 @@
     }
   }
 
-  private static Phase play(BenchOptions o, String name, Site site, Policy policy)
+  private static LoadPhase runPolicy(BenchOptions o, String name, StandInEnvironment standIns, RequestPolicy policy)
       throws InterruptedException {
     List<Arrival> plan =
-        Arrivals.plan(
-            o.deployment(), o.scale(), BUSY_SHARE, WARM_UP_SECONDS + o.seconds(), o.seed());
+        ArrivalPlanner.plan(
+            o.deployment(), o.scale(), UTILIZATION, WARM_UP_SECONDS + o.seconds(), o.seed());
     long warmUp = TimeUnit.SECONDS.toNanos(WARM_UP_SECONDS);
-    var phase = new Phase();
+    var phase = new LoadPhase();
     boolean[] reset = {false};
-    try (var slow = new SlowDowns(site.upstreams(), o.seed())) {
-      phase.play(
+    try (var slow = new SlowdownInjector(standIns.upstreams(), o.seed())) {
+      phase.execute(
           plan,
           warmUp,
           policy,
           (a, r) -> {
-            if (!reset[0] && a.atNanos() >= warmUp) {
+            if (!reset[0] && a.dueAfterNanos() >= warmUp) {
               reset[0] = true;
-              site.upstreams().forEach(UpstreamStandIn::resetCounts);
+              standIns.upstreams().forEach(UpstreamStandIn::resetCounters);
             }
           });
     }
-    long over = site.upstreams().stream().mapToLong(UpstreamStandIn::overSlots).sum();
-    System.out.println("policy=" + name + " " + phase + " over_slots=" + over);
+    long overCapacity = standIns.upstreams().stream().mapToLong(UpstreamStandIn::arrivalsOverCapacity).sum();
+    System.out.println("policy=" + name + " " + phase + " over_slots=" + overCapacity);
     return phase;
   }
 }
--- a/embedded/src/main/java/dev/cactusstack/embedded/FreePorts.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/FreePorts.java
@@ -11,12 +11,12 @@
  * that a port found stays free until it is bound. Thread-safe.
  */
 public final class FreePorts {
-  private static final int LOWEST = 10_000;
-  private static final int COUNT = 20_000;
+  private static final int FIRST_PORT = 10_000;
+  private static final int PORT_COUNT = 20_000;
 
   /** Processes start at different places, so that they seldom try the same port. */
-  private static final AtomicInteger NEXT =
-      new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
+  private static final AtomicInteger NEXT_OFFSET =
+      new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORT_COUNT));
 
   private FreePorts() {}
 
@@ -26,8 +26,8 @@
    * @return the port number
    */
   public static int next() {
-    for (int i = 0; i < COUNT; i++) {
-      int port = LOWEST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+    for (int i = 0; i < PORT_COUNT; i++) {
+      int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
       if (isFree(port)) {
         return port;
       }
--- a/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
@@ -14,7 +14,7 @@
  * @param operatorsPort its port for operators
  * @param linkPort its port for other hosts
  * @param platformPort the platform stand-in's port
- * @param extra further settings, as JSON members with a leading comma, or empty
+ * @param extraSettings further settings, as JSON members with a leading comma, or empty
  */
 public record HostSpec(
     String id,
@@ -23,7 +23,7 @@
     int operatorsPort,
     int linkPort,
     int platformPort,
-    String extra) {
+    String extraSettings) {
   /** For stand-ins on loopback only; a deployment has its own. */
   private static final String LOOPBACK_SECRET = "6361637475732d6c6f6f706261636b2d6f6e6c79";
 
@@ -31,7 +31,7 @@
   public HostSpec {
     Objects.requireNonNull(id, "id is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
-    Objects.requireNonNull(extra, "extra is null");
+    Objects.requireNonNull(extraSettings, "extra is null");
   }
 
   /**
@@ -39,7 +39,7 @@
    *
    * @return JSON
    */
-  public String json() {
+  public String toJson() {
     return """
         {
           "host": {"id": "%s", "data_centre": "%s"},
@@ -57,7 +57,7 @@
             linkPort,
             LOOPBACK_SECRET,
             platformPort,
-            extra);
+            extraSettings);
   }
 
   /**
@@ -67,7 +67,7 @@
    * @return the settings
    */
   public HostSettings settings(Map<String, String> environment) {
-    SettingsResult checked = HostSettings.parse(json(), environment);
+    SettingsResult checked = HostSettings.parse(toJson(), environment);
     if (checked instanceof SettingsResult.Valid v) {
       return v.settings();
     }
--- a/embedded/src/main/java/dev/cactusstack/embedded/Site.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/StandInEnvironment.java
@@ -7,9 +7,9 @@
 import dev.cactusstack.model.ListedHost;
 import dev.cactusstack.standin.Deployment;
 import dev.cactusstack.standin.PlatformStandIn;
-import dev.cactusstack.standin.RunLog;
+import dev.cactusstack.standin.ExecutionCounter;
 import dev.cactusstack.standin.UpstreamStandIn;
-import dev.cactusstack.standin.UpstreamTraits;
+import dev.cactusstack.standin.UpstreamSpec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -24,34 +24,34 @@
  * What surrounds the entry hosts of a deployment: the platform stand-in with its table and host
  * list, and the upstream stand-ins. Thread-safe.
  */
-public final class Site implements AutoCloseable {
-  private static final int DEFAULT_WEIGHT = 20;
+public final class StandInEnvironment implements AutoCloseable {
+  private static final int INITIAL_WEIGHT = 20;
   private static final int UPSTREAM_THREADS = 2;
-  private static final int QUICK_SLOTS = 64;
+  private static final int FAST_UPSTREAM_SLOTS = 64;
 
   private final Deployment deployment;
   private final PlatformStandIn platform;
   private final XnioWorker worker;
-  private final RunLog runs = new RunLog();
+  private final ExecutionCounter executionCounter = new ExecutionCounter();
   private final List<UpstreamStandIn> upstreams = new ArrayList<>();
 
   /** Upstreams that answer at once and have many slots, to measure the entry hosts alone. */
-  public static final UnaryOperator<UpstreamTraits> QUICK =
+  public static final UnaryOperator<UpstreamSpec> FAST_UPSTREAMS =
       t ->
-          new UpstreamTraits(
-              t.service(), t.dataCentre(), QUICK_SLOTS, 0, 0, t.coldBears(), t.warmUpRuns());
+          new UpstreamSpec(
+              t.service(), t.dataCentre(), FAST_UPSTREAM_SLOTS, 0, 0, t.coldConcurrencyLimit(), t.warmUpRequests());
 
-  private Site(Deployment deployment, int scale, UnaryOperator<UpstreamTraits> change, long seed) {
+  private StandInEnvironment(Deployment deployment, int scale, UnaryOperator<UpstreamSpec> modifier, long seed) {
     this.deployment = Objects.requireNonNull(deployment, "deployment is null");
     platform = PlatformStandIn.start(0);
     worker = XnioWorkers.createDaemonWorker("upstreams", UPSTREAM_THREADS);
     var random = new Random(seed);
-    for (UpstreamTraits t : deployment.upstreams(scale)) {
-      var times = new Random(random.nextLong());
-      upstreams.add(UpstreamStandIn.start(change.apply(t), 0, worker, runs, times, false));
+    for (UpstreamSpec t : deployment.upstreams(scale)) {
+      var serviceTimes = new Random(random.nextLong());
+      upstreams.add(UpstreamStandIn.start(modifier.apply(t), 0, worker, executionCounter, serviceTimes, false));
     }
-    platform.seed(rows());
-    upstreams.forEach(u -> list(u, false));
+    platform.writeRows(initialRows());
+    upstreams.forEach(u -> registerUpstream(u, false));
   }
 
   /**
@@ -62,40 +62,40 @@
    * @param seed makes the upstreams' times repeatable
    * @return the running site
    */
-  public static Site start(Deployment deployment, int scale, long seed) {
-    return new Site(deployment, scale, UnaryOperator.identity(), seed);
+  public static StandInEnvironment start(Deployment deployment, int scale, long seed) {
+    return new StandInEnvironment(deployment, scale, UnaryOperator.identity(), seed);
   }
 
   /**
    * Starts a site whose upstreams differ from the deployment's.
    *
    * @param deployment which one
-   * @param change changes each upstream's traits
+   * @param modifier changes each upstream's traits
    * @param seed makes the upstreams' times repeatable
    * @return the running site
    */
-  public static Site startWith(
-      Deployment deployment, UnaryOperator<UpstreamTraits> change, long seed) {
-    return new Site(deployment, 1, change, seed);
+  public static StandInEnvironment startModified(
+      Deployment deployment, UnaryOperator<UpstreamSpec> modifier, long seed) {
+    return new StandInEnvironment(deployment, 1, modifier, seed);
   }
 
-  private ArrayNode rows() {
+  private ArrayNode initialRows() {
     ArrayNode writes = Json.newObject().putArray("writes");
     var slots = new TreeMap<String, Integer>();
     upstreams.forEach(
         u ->
             slots.merge(
-                u.traits().service() + "/" + u.traits().dataCentre(),
-                u.traits().slots(),
+                u.spec().service() + "/" + u.spec().dataCentre(),
+                u.spec().slots(),
                 Integer::sum));
     for (Map.Entry<String, Integer> e : slots.entrySet()) {
       writes
           .addObject()
           .put("key", "route/" + e.getKey())
           .putObject("value")
-          .put("weight", DEFAULT_WEIGHT)
+          .put("weight", INITIAL_WEIGHT)
           .put("limit", e.getValue())
-          .put("upstream_limit", upstreams.get(0).traits().slots());
+          .put("upstream_limit", upstreams.get(0).spec().slots());
     }
     for (String d : deployment.dataCentres()) {
       writes.addObject().put("key", "data-centre/" + d).putObject("value").put("out", false);
@@ -109,22 +109,22 @@
    * @param u the upstream
    * @param leaving whether the list shows it as leaving
    */
-  public void list(UpstreamStandIn u, boolean leaving) {
-    ObjectNode n = entry(ListedHost.Role.UPSTREAM, u.traits().dataCentre(), leaving);
-    platform.list(u.address(), n.put("service", u.traits().service()));
+  public void registerUpstream(UpstreamStandIn u, boolean leaving) {
+    ObjectNode n = hostEntry(ListedHost.Role.UPSTREAM, u.spec().dataCentre(), leaving);
+    platform.registerHost(u.address(), n.put("service", u.spec().service()));
   }
 
   /**
    * Puts an entry host into the host list.
    *
-   * @param link its link address
+   * @param linkAddress its link address
    * @param dataCentre where it is
    */
-  public void listEntryHost(String link, String dataCentre) {
-    platform.list(link, entry(ListedHost.Role.ENTRY, dataCentre, false));
+  public void registerEntryHost(String linkAddress, String dataCentre) {
+    platform.registerHost(linkAddress, hostEntry(ListedHost.Role.ENTRY, dataCentre, false));
   }
 
-  private static ObjectNode entry(ListedHost.Role role, String dataCentre, boolean leaving) {
+  private static ObjectNode hostEntry(ListedHost.Role role, String dataCentre, boolean leaving) {
     return Json.newObject()
         .put("role", role.name().toLowerCase(Locale.ROOT))
         .put("data_centre", dataCentre)
@@ -163,8 +163,8 @@
    *
    * @return the counts
    */
-  public RunLog runs() {
-    return runs;
+  public ExecutionCounter executionCounter() {
+    return executionCounter;
   }
 
   @Override
--- a/standin/src/main/java/dev/cactusstack/standin/Work.java
+++ b/standin/src/main/java/dev/cactusstack/standin/Execution.java
@@ -10,53 +10,53 @@
  * the new speed, as it would beside a neighbour that takes processor time. Its state is confined to
  * one I/O thread.
  */
-final class Work {
+final class Execution {
   private static final double NANOS_PER_MS = 1e6;
 
-  private final XnioIoThread thread;
-  private double leftMs;
+  private final XnioIoThread ioThread;
+  private double remainingMs;
   private double slowdown;
-  private long sinceNanos;
+  private long lastUpdateNanos;
   private boolean done;
   private XnioExecutor.@Nullable Key timer;
-  private Runnable whenDone = () -> {};
+  private Runnable completionCallback = () -> {};
 
-  Work(XnioIoThread thread, double workMs, double slowdown) {
-    this.thread = thread;
-    this.leftMs = workMs;
+  Execution(XnioIoThread ioThread, double serviceMs, double slowdown) {
+    this.ioThread = ioThread;
+    this.remainingMs = serviceMs;
     this.slowdown = slowdown;
   }
 
   /** Begins; called on the I/O thread. */
-  void start(Runnable onDone) {
-    whenDone = onDone;
-    sinceNanos = System.nanoTime();
+  void start(Runnable onCompletion) {
+    completionCallback = onCompletion;
+    lastUpdateNanos = System.nanoTime();
     schedule();
   }
 
-  void changeSpeed(double next) {
-    thread.execute(
+  void setSlowdown(double newSlowdown) {
+    ioThread.execute(
         () -> {
           if (!done && timer != null) {
             timer.remove();
             long now = System.nanoTime();
-            leftMs = Math.max(0, leftMs - (now - sinceNanos) / NANOS_PER_MS / slowdown);
-            sinceNanos = now;
-            slowdown = next;
+            remainingMs = Math.max(0, remainingMs - (now - lastUpdateNanos) / NANOS_PER_MS / slowdown);
+            lastUpdateNanos = now;
+            slowdown = newSlowdown;
             schedule();
           }
         });
   }
 
   private void schedule() {
-    long micros = Math.round(leftMs * slowdown * 1_000);
-    timer = thread.executeAfter(this::finish, micros, TimeUnit.MICROSECONDS);
+    long micros = Math.round(remainingMs * slowdown * 1_000);
+    timer = ioThread.executeAfter(this::finish, micros, TimeUnit.MICROSECONDS);
   }
 
   private void finish() {
     if (!done) {
       done = true;
-      whenDone.run();
+      completionCallback.run();
     }
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/RunLog.java
+++ b/standin/src/main/java/dev/cactusstack/standin/ExecutionCounter.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The true count of runs of each request, over all stand-ins that share it. Thread-safe. */
-public final class RunLog {
-  private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+public final class ExecutionCounter {
+  private final Map<String, AtomicInteger> countsByRequestId = new ConcurrentHashMap<>();
 
-  void ran(String requestId) {
+  void recordExecution(String requestId) {
     if (!requestId.isEmpty()) {
-      runs.computeIfAbsent(requestId, id -> new AtomicInteger()).incrementAndGet();
+      countsByRequestId.computeIfAbsent(requestId, id -> new AtomicInteger()).incrementAndGet();
     }
   }
 
@@ -21,7 +21,7 @@
    * @return the true count
    */
   public int count(String requestId) {
-    AtomicInteger n = runs.get(requestId);
+    AtomicInteger n = countsByRequestId.get(requestId);
     return n == null ? 0 : n.get();
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformFaults.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformFaults.java
@@ -4,11 +4,11 @@
  * Faults that the platform stand-in causes. Immutable and thread-safe.
  *
  * @param down whether every request is refused by closing the connection
- * @param slowMs delay before each answer, in milliseconds
- * @param loseAnswers number of further transactions whose answer is lost after the write
+ * @param responseDelayMs delay before each answer, in milliseconds
+ * @param lostResponses number of further transactions whose answer is lost after the write
  * @param tableDown whether only the table service is refused, and the host list still answers
  */
-public record PlatformFaults(boolean down, long slowMs, int loseAnswers, boolean tableDown) {
+public record PlatformFaults(boolean down, long responseDelayMs, int lostResponses, boolean tableDown) {
   /** No faults. */
   public static final PlatformFaults NONE = new PlatformFaults(false, 0, 0, false);
 
@@ -16,10 +16,10 @@
    * Creates faults of the whole platform.
    *
    * @param down whether every request is refused by closing the connection
-   * @param slowMs delay before each answer, in milliseconds
-   * @param loseAnswers number of further transactions whose answer is lost after the write
+   * @param responseDelayMs delay before each answer, in milliseconds
+   * @param lostResponses number of further transactions whose answer is lost after the write
    */
-  public PlatformFaults(boolean down, long slowMs, int loseAnswers) {
-    this(down, slowMs, loseAnswers, false);
+  public PlatformFaults(boolean down, long responseDelayMs, int lostResponses) {
+    this(down, responseDelayMs, lostResponses, false);
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
@@ -32,16 +32,16 @@
   private static final int WORKER_THREADS = 8;
 
   /** Heads of a request and its answer, and the packets that open and close a connection. */
-  private static final int HEAD_BYTES = 800;
+  private static final int OVERHEAD_BYTES_PER_REQUEST = 800;
 
   private static final String HOSTS_PATH = "/v1/hosts/";
   private static final String OBJECTS_PATH = "/v1/objects/";
 
-  private final TableState table = new TableState();
-  private final TableState claims = new TableState();
-  private final HostRegister hosts = new HostRegister();
+  private final InMemoryTable table = new InMemoryTable();
+  private final InMemoryTable claims = new InMemoryTable();
+  private final HostRegistry hosts = new HostRegistry();
   private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
-  private final LongAdder bytes = new LongAdder();
+  private final LongAdder responseBytes = new LongAdder();
   private volatile PlatformFaults faults = PlatformFaults.NONE;
   private final Undertow server;
 
@@ -81,7 +81,7 @@
    *
    * @param next the faults from now on
    */
-  public synchronized void cause(PlatformFaults next) {
+  public synchronized void setFaults(PlatformFaults next) {
     faults = Objects.requireNonNull(next, "next is null");
   }
 
@@ -90,7 +90,7 @@
    *
    * @param writes a transaction's {@code writes}, each with {@code key} and {@code value}
    */
-  public void seed(ArrayNode writes) {
+  public void writeRows(ArrayNode writes) {
     ObjectNode t = Json.newObject();
     t.set("writes", writes);
     table.commit(t);
@@ -102,7 +102,7 @@
    * @param address the host's address
    * @param entry its fields
    */
-  public void list(String address, JsonNode entry) {
+  public void registerHost(String address, JsonNode entry) {
     hosts.put(address, (ObjectNode) entry);
   }
 
@@ -111,7 +111,7 @@
    *
    * @param address the host's address
    */
-  public void unlist(String address) {
+  public void deregisterHost(String address) {
     hosts.remove(address);
   }
 
@@ -128,39 +128,39 @@
   private void handle(HttpServerExchange x) throws Exception {
     PlatformFaults f = faults;
     if (x.getRequestPath().equals("/v1/faults")) {
-      changeFaults(x);
+      updateFaults(x);
       return;
     }
-    if (f.down() || f.tableDown() && isTable(x.getRequestPath())) {
+    if (f.down() || f.tableDown() && isTablePath(x.getRequestPath())) {
       IoUtils.safeClose(x.getConnection());
       return;
     }
-    if (f.slowMs() > 0) {
-      TimeUnit.MILLISECONDS.sleep(f.slowMs());
+    if (f.responseDelayMs() > 0) {
+      TimeUnit.MILLISECONDS.sleep(f.responseDelayMs());
     }
     String path = x.getRequestPath();
     if (path.equals("/v1/rows")) {
-      reply(x, 200, tableOf(x).changesAfter(after(x)));
+      reply(x, 200, tableFor(x).changesAfter(afterRevision(x)));
     } else if (path.equals("/v1/row")) {
-      reply(x, 200, tableOf(x).row(queryValue(x, "key")));
+      reply(x, 200, tableFor(x).row(queryValue(x, "key")));
     } else if (path.equals("/v1/transactions")) {
       transact(x);
     } else if (path.equals("/v1/hosts")) {
-      reply(x, 200, hosts.changesAfter(after(x)));
+      reply(x, 200, hosts.changesAfter(afterRevision(x)));
     } else if (path.startsWith(HOSTS_PATH)) {
-      changeHost(x, path.substring(HOSTS_PATH.length()));
+      updateHost(x, path.substring(HOSTS_PATH.length()));
     } else if (path.startsWith(OBJECTS_PATH)) {
-      object(x, path.substring(OBJECTS_PATH.length()));
+      handleObject(x, path.substring(OBJECTS_PATH.length()));
     } else {
       reply(x, 404, Json.newObject().put("error", "no such resource"));
     }
   }
 
-  private static boolean isTable(String path) {
+  private static boolean isTablePath(String path) {
     return path.equals("/v1/rows") || path.equals("/v1/row") || path.equals("/v1/transactions");
   }
 
-  private TableState tableOf(HttpServerExchange x) {
+  private InMemoryTable tableFor(HttpServerExchange x) {
     return queryValue(x, "table").equals("claims") ? claims : table;
   }
 
@@ -169,19 +169,19 @@
     return values == null ? "" : values.getFirst();
   }
 
-  private static long after(HttpServerExchange x) {
+  private static long afterRevision(HttpServerExchange x) {
     String after = queryValue(x, "after");
     return after.isEmpty() ? 0 : Long.parseLong(after);
   }
 
-  private static JsonNode body(HttpServerExchange x) throws Exception {
+  private static JsonNode readBody(HttpServerExchange x) throws Exception {
     x.startBlocking();
     return Json.parse(x.getInputStream().readAllBytes()).orElse(Json.newObject());
   }
 
   private void transact(HttpServerExchange x) throws Exception {
-    OptionalLong revision = tableOf(x).commit(body(x));
-    if (takeLostAnswer()) {
+    OptionalLong revision = tableFor(x).commit(readBody(x));
+    if (consumeLostResponse()) {
       IoUtils.safeClose(x.getConnection());
     } else if (revision.isPresent()) {
       reply(x, 200, Json.newObject().put("revision", revision.getAsLong()));
@@ -190,25 +190,25 @@
     }
   }
 
-  private synchronized boolean takeLostAnswer() {
+  private synchronized boolean consumeLostResponse() {
     PlatformFaults f = faults;
-    if (f.loseAnswers() == 0) {
+    if (f.lostResponses() == 0) {
       return false;
     }
-    faults = new PlatformFaults(f.down(), f.slowMs(), f.loseAnswers() - 1, f.tableDown());
+    faults = new PlatformFaults(f.down(), f.responseDelayMs(), f.lostResponses() - 1, f.tableDown());
     return true;
   }
 
-  private void changeHost(HttpServerExchange x, String address) throws Exception {
+  private void updateHost(HttpServerExchange x, String address) throws Exception {
     if (x.getRequestMethod().equalToString("DELETE")) {
-      unlist(address);
+      deregisterHost(address);
     } else {
-      list(address, body(x));
+      registerHost(address, readBody(x));
     }
     reply(x, 200, Json.newObject());
   }
 
-  private void object(HttpServerExchange x, String name) throws Exception {
+  private void handleObject(HttpServerExchange x, String name) throws Exception {
     if (x.getRequestMethod().equalToString("PUT")) {
       x.startBlocking();
       objects.put(name, x.getInputStream().readAllBytes());
@@ -223,9 +223,9 @@
     x.getResponseSender().send(ByteBuffer.wrap(content));
   }
 
-  private void changeFaults(HttpServerExchange x) throws Exception {
-    JsonNode n = body(x);
-    cause(
+  private void updateFaults(HttpServerExchange x) throws Exception {
+    JsonNode n = readBody(x);
+    setFaults(
         new PlatformFaults(
             n.path("down").asBoolean(),
             n.path("slow_ms").asLong(),
@@ -239,13 +239,13 @@
    *
    * @return the count
    */
-  public long bytes() {
-    return bytes.sum();
+  public long responseBytes() {
+    return responseBytes.sum();
   }
 
   private void reply(HttpServerExchange x, int status, JsonNode content) {
     byte[] body = Json.toBytes(content);
-    bytes.add(body.length + HEAD_BYTES);
+    responseBytes.add(body.length + OVERHEAD_BYTES_PER_REQUEST);
     x.setStatusCode(status);
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseSender().send(ByteBuffer.wrap(body));
--- a/standin/src/main/java/dev/cactusstack/standin/SlotQueue.java
+++ b/standin/src/main/java/dev/cactusstack/standin/SlotQueue.java
@@ -9,37 +9,37 @@
 final class SlotQueue {
   private final int slots;
   private final Queue<Runnable> queue = new ArrayDeque<>();
-  private int running;
-  private int peak;
-  private long overSlots;
+  private int busySlots;
+  private int peakInFlight;
+  private long arrivalsOverCapacity;
 
   SlotQueue(int slots) {
     this.slots = slots;
   }
 
   /** Runs a request in a free slot, or queues it; returns the requests now in flight. */
-  int arrive(Runnable run) {
+  int submit(Runnable task) {
     int inFlight;
     synchronized (this) {
-      inFlight = running + queue.size() + 1;
-      peak = Math.max(peak, inFlight);
-      if (running >= slots) {
-        overSlots++;
-        queue.add(run);
+      inFlight = busySlots + queue.size() + 1;
+      peakInFlight = Math.max(peakInFlight, inFlight);
+      if (busySlots >= slots) {
+        arrivalsOverCapacity++;
+        queue.add(task);
         return inFlight;
       }
-      running++;
+      busySlots++;
     }
-    run.run();
+    task.run();
     return inFlight;
   }
 
-  void depart() {
+  void release() {
     Runnable next;
     synchronized (this) {
       next = queue.poll();
       if (next == null) {
-        running--;
+        busySlots--;
         return;
       }
     }
@@ -47,19 +47,19 @@
   }
 
   synchronized int inFlight() {
-    return running + queue.size();
+    return busySlots + queue.size();
   }
 
-  synchronized int peak() {
-    return peak;
+  synchronized int peakInFlight() {
+    return peakInFlight;
   }
 
-  synchronized long overSlots() {
-    return overSlots;
+  synchronized long arrivalsOverCapacity() {
+    return arrivalsOverCapacity;
   }
 
-  synchronized void resetCounts() {
-    peak = running + queue.size();
-    overSlots = 0;
+  synchronized void resetCounters() {
+    peakInFlight = busySlots + queue.size();
+    arrivalsOverCapacity = 0;
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/UpstreamCondition.java
+++ b/standin/src/main/java/dev/cactusstack/standin/UpstreamCondition.java
@@ -7,18 +7,18 @@
  * @param failFast whether it answers every request at once with a server error
  * @param shedding whether it refuses every request without running it
  * @param leaving whether it reports that it is leaving
- * @param silent whether it accepts requests and never answers
- * @param cut whether it closes the connection in the middle of each answer
- * @param stall whether it goes silent in the middle of each answer
+ * @param unresponsive whether it accepts requests and never answers
+ * @param truncatesResponses whether it closes the connection in the middle of each answer
+ * @param stallsResponses whether it goes silent in the middle of each answer
  */
 public record UpstreamCondition(
     double slowdown,
     boolean failFast,
     boolean shedding,
     boolean leaving,
-    boolean silent,
-    boolean cut,
-    boolean stall) {
+    boolean unresponsive,
+    boolean truncatesResponses,
+    boolean stallsResponses) {
   /** No faults. */
   public static final UpstreamCondition HEALTHY =
       new UpstreamCondition(1, false, false, false, false, false, false);
@@ -29,8 +29,8 @@
    * @param factor factor on the time of a run
    * @return the changed condition
    */
-  public UpstreamCondition slowedBy(double factor) {
-    return new UpstreamCondition(factor, failFast, shedding, leaving, silent, cut, stall);
+  public UpstreamCondition withSlowdown(double factor) {
+    return new UpstreamCondition(factor, failFast, shedding, leaving, unresponsive, truncatesResponses, stallsResponses);
   }
 
   /**
@@ -38,17 +38,17 @@
    *
    * @return the changed condition
    */
-  public UpstreamCondition stalling() {
-    return new UpstreamCondition(slowdown, failFast, shedding, leaving, silent, cut, true);
+  public UpstreamCondition withStalledResponses() {
+    return new UpstreamCondition(slowdown, failFast, shedding, leaving, unresponsive, truncatesResponses, true);
   }
 
   /**
    * Changes whether it reports that it is leaving.
    *
-   * @param now whether it does
+   * @param newLeaving whether it does
    * @return the changed condition
    */
-  public UpstreamCondition leaving(boolean now) {
-    return new UpstreamCondition(slowdown, failFast, shedding, now, silent, cut, stall);
+  public UpstreamCondition leaving(boolean newLeaving) {
+    return new UpstreamCondition(slowdown, failFast, shedding, newLeaving, unresponsive, truncatesResponses, stallsResponses);
   }
 }
