--- a/http/src/main/java/dev/cactusstack/http/HttpCall.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpRequest.java
@@ -7,19 +7,20 @@
 import java.util.TreeMap;
 
 /**
- * One control request. Immutable and thread-safe; the body must not be changed afterwards.
+ * An HTTP request of the control plane. Immutable and thread-safe; the body must not be changed
+ * afterwards.
  *
  * @param method the HTTP method
- * @param uri the absolute target
+ * @param uri the absolute URI
  * @param headers header fields by name
- * @param body the content, empty for none
- * @param timeout how long to wait for the whole answer
+ * @param body the content, empty if there is none
+ * @param timeout the timeout for the complete response
  */
-public record HttpCall(
+public record HttpRequest(
     String method, URI uri, Map<String, String> headers, byte[] body, Duration timeout) {
 
   /** Checks the components and copies the headers. */
-  public HttpCall {
+  public HttpRequest {
     Objects.requireNonNull(method, "method is null");
     Objects.requireNonNull(uri, "uri is null");
     Objects.requireNonNull(body, "body is null");
@@ -30,25 +31,25 @@
   /**
    * Creates a GET request.
    *
-   * @param uri the absolute target
-   * @param timeout how long to wait for the whole answer
+   * @param uri the absolute URI
+   * @param timeout the timeout for the complete response
    * @return the request
    */
-  public static HttpCall get(URI uri, Duration timeout) {
-    return new HttpCall("GET", uri, Map.of(), new byte[0], timeout);
+  public static HttpRequest get(URI uri, Duration timeout) {
+    return new HttpRequest("GET", uri, Map.of(), new byte[0], timeout);
   }
 
   /**
    * Creates a request with a JSON body.
    *
    * @param method the HTTP method
-   * @param uri the absolute target
+   * @param uri the absolute URI
    * @param json the content
-   * @param timeout how long to wait for the whole answer
+   * @param timeout the timeout for the complete response
    * @return the request
    */
-  public static HttpCall json(String method, URI uri, byte[] json, Duration timeout) {
-    return new HttpCall(method, uri, Map.of("Content-Type", "application/json"), json, timeout);
+  public static HttpRequest json(String method, URI uri, byte[] json, Duration timeout) {
+    return new HttpRequest(method, uri, Map.of("Content-Type", "application/json"), json, timeout);
   }
 
   /**
@@ -56,11 +57,11 @@
    *
    * @param name the field's name
    * @param value the field's value
-   * @return the changed request
+   * @return a copy of the request with the field
    */
-  public HttpCall withHeader(String name, String value) {
+  public HttpRequest withHeader(String name, String value) {
     var h = new TreeMap<>(headers);
     h.put(name, value);
-    return new HttpCall(method, uri, h, body, timeout);
+    return new HttpRequest(method, uri, h, body, timeout);
   }
 }
--- a/http/src/main/java/dev/cactusstack/http/Json.java
+++ b/http/src/main/java/dev/cactusstack/http/Json.java
@@ -19,7 +19,7 @@
    *
    * @return the object
    */
-  public static ObjectNode object() {
+  public static ObjectNode newObject() {
     return JsonNodeFactory.instance.objectNode();
   }
 
@@ -29,7 +29,7 @@
    * @param node the tree
    * @return UTF-8 bytes
    */
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] toBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
@@ -41,7 +41,7 @@
    * Parses a document.
    *
    * @param bytes UTF-8 bytes
-   * @return the tree, or nothing when the bytes are not one JSON document
+   * @return the tree, or empty if the bytes are not a JSON document
    */
   public static Optional<JsonNode> parse(byte[] bytes) {
     try {
--- a/link/src/main/java/dev/cactusstack/link/LinkBody.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkBody.java
@@ -4,40 +4,40 @@
 import dev.cactusstack.model.ConfigurationTable;
 import java.util.Objects;
 
-/** What one datagram asks or tells. Immutable and thread-safe. */
+/** The body of a link message. Immutable and thread-safe. */
 public sealed interface LinkBody {
 
   /**
-   * A message of failure detection.
+   * A message of the failure detector.
    *
-   * @param probe the message
+   * @param message the message
    */
-  record Detection(ProbeMessage probe) implements LinkBody {
+  record FailureDetection(ProbeMessage message) implements LinkBody {
     /** Checks the message. */
-    public Detection {
-      Objects.requireNonNull(probe, "probe is null");
+    public FailureDetection {
+      Objects.requireNonNull(message, "probe is null");
     }
   }
 
   /**
-   * Asks for table rows.
+   * Requests table rows.
    *
-   * @param after the position to continue from
+   * @param cursor the position to continue from
    */
-  record ChangesQuery(ChangeCursor after) implements LinkBody {
+  record ChangesQuery(ChangeCursor cursor) implements LinkBody {
     /** Checks the position. */
     public ChangesQuery {
-      Objects.requireNonNull(after, "after is null");
+      Objects.requireNonNull(cursor, "after is null");
     }
   }
 
   /**
-   * Table rows in the order of their positions.
+   * A page of table rows in cursor order.
    *
-   * @param rows the rows with the sender's table version
-   * @param more whether rows remain
+   * @param rows the rows, with the table version of the sender
+   * @param hasMore whether more rows follow
    */
-  record ChangesPage(ConfigurationTable rows, boolean more) implements LinkBody {
+  record ChangesPage(ConfigurationTable rows, boolean hasMore) implements LinkBody {
     /** Checks the rows. */
     public ChangesPage {
       Objects.requireNonNull(rows, "rows is null");
--- a/link/src/main/java/dev/cactusstack/link/TableCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/TableCodec.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Translates pages of table rows. Rows that cannot be read are passed over. Stateless. */
+/** Encodes and decodes pages of table rows. Invalid rows are skipped. Stateless. */
 final class TableCodec {
   private TableCodec() {}
 
@@ -19,7 +19,7 @@
     var b =
         dev.cactusstack.link.generated.ChangesPage.newBuilder()
             .setTableVersion(p.rows().version())
-            .setMore(p.more());
+            .setMore(p.hasMore());
     p.rows()
         .routes()
         .values()
--- a/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
@@ -17,19 +17,19 @@
 /**
  * The settings of one entry host. Immutable and thread-safe.
  *
- * @param id the host's identity
- * @param dataCentre where the host is
- * @param callers the port for callers
- * @param operators the port for operators
+ * @param id the id of the host
+ * @param dataCentre the data centre of the host
+ * @param callers the listener for callers
+ * @param operators the listener for operators
  * @param link the link between hosts
- * @param platform the platform's services
- * @param requests how requests are treated
+ * @param platform the connection to the platform's services
+ * @param requests the handling of requests
  */
 public record HostSettings(
     HostId id,
     DataCentre dataCentre,
-    CallersSettings callers,
-    OperatorsSettings operators,
+    CallerListenerSettings callers,
+    OperatorListenerSettings operators,
     LinkSettings link,
     PlatformSettings platform,
     RequestSettings requests) {
@@ -41,31 +41,33 @@
           .build();
 
   /**
-   * Reads and checks a settings file's text.
+   * Parses and validates the text of a settings file.
    *
-   * @param text JSON, comments allowed
-   * @param environment the process's environment variables
-   * @return the settings, or every fault
+   * @param text JSON text; comments and trailing commas are allowed
+   * @param environment the environment variables of the process
+   * @return the settings, or all errors found
    */
-  public static CheckedSettings parse(String text, Map<String, String> environment) {
+  public static SettingsResult parse(String text, Map<String, String> environment) {
     Objects.requireNonNull(text, "text is null");
     JsonNode root;
     try {
       root = MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
-      String at = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
-      return new CheckedSettings.Invalid(
-          List.of(new SettingsFault("(file)", at, "correct the JSON: " + e.getOriginalMessage())));
+      String location = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
+      return new SettingsResult.Invalid(
+          List.of(
+              new SettingsError(
+                  "(file)", location, "correct the JSON: " + e.getOriginalMessage())));
     }
     if (root == null || !root.isObject()) {
-      return new CheckedSettings.Invalid(
-          List.of(new SettingsFault("(file)", "no object", "write one object in braces")));
+      return new SettingsResult.Invalid(
+          List.of(new SettingsError("(file)", "not an object", "write one object in braces")));
     }
-    var faults = new ArrayList<SettingsFault>();
-    HostSettings settings = read(new Section("", root, faults), environment);
-    return faults.isEmpty()
-        ? new CheckedSettings.Valid(settings)
-        : new CheckedSettings.Invalid(faults);
+    var errors = new ArrayList<SettingsError>();
+    HostSettings settings = read(new Section("", root, errors), environment);
+    return errors.isEmpty()
+        ? new SettingsResult.Valid(settings)
+        : new SettingsResult.Invalid(errors);
   }
 
   private static HostSettings read(Section root, Map<String, String> environment) {
@@ -74,13 +76,13 @@
         new HostSettings(
             host.parsed("id", "host-1", HostId::parse),
             host.parsed("data_centre", "example-1", DataCentre::parse),
-            CallersSettings.read(root.section("callers")),
-            OperatorsSettings.read(root.section("operators"), environment),
+            CallerListenerSettings.read(root.section("callers")),
+            OperatorListenerSettings.read(root.section("operators"), environment),
             LinkSettings.read(root.section("link")),
             PlatformSettings.read(root.section("platform")),
             RequestSettings.read(root.section("requests")));
-    host.finish();
-    root.finish();
+    host.rejectUnknownKeys();
+    root.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/SettingsFault.java
+++ b/settings/src/main/java/dev/cactusstack/settings/SettingsError.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong with a settings file. Immutable and thread-safe.
+ * An error in a settings file. Immutable and thread-safe.
  *
  * @param key the dotted path of the setting
- * @param value what stands there, as JSON; {@code absent} for nothing
+ * @param value the value found, as JSON, or {@code absent}
  * @param remedy what to write instead
  */
-public record SettingsFault(String key, String value, String remedy) {
+public record SettingsError(String key, String value, String remedy) {
 
   /** Checks the components. */
-  public SettingsFault {
+  public SettingsError {
     Objects.requireNonNull(key, "key is null");
     Objects.requireNonNull(value, "value is null");
     Objects.requireNonNull(remedy, "remedy is null");
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.http.Json;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.ListedHost;
@@ -25,7 +25,7 @@
 import java.util.TreeMap;
 import org.xnio.XnioWorker;
 
-/** Steps of the platform's contract, against the stand-in over loopback. */
+/** Steps of the platform contract tests, run against the stand-in over loopback. */
 public final class PlatformSteps {
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
   private static final Duration SHORT = Duration.ofMillis(400);
@@ -33,15 +33,15 @@
   private static final long SLOW_MS = 1_200;
 
   private final PlatformStandIn standIn = PlatformStandIn.start(0);
-  private final XnioWorker worker = Workers.daemon("platform-test", 1);
-  private HttpPlatform client = client(standIn.port(), LONG);
+  private final XnioWorker worker = XnioWorkers.createDaemonWorker("platform-test", 1);
+  private HttpPlatformClient client = client(standIn.port(), LONG);
   private String report = "";
   private Map<Address, ListedHost> known = new TreeMap<>();
   private long knownRevision;
 
-  private HttpPlatform client(int port, Duration timeout) {
-    return new HttpPlatform(
-        new HttpCaller(worker, Optional.empty()), new Address("127.0.0.1", port), timeout);
+  private HttpPlatformClient client(int port, Duration timeout) {
+    return new HttpPlatformClient(
+        new HttpClient(worker, Optional.empty()), new Address("127.0.0.1", port), timeout);
   }
 
   /** Stops the stand-in. */
@@ -54,7 +54,7 @@
   /** Writes the first row. */
   @Given("a table with row {string} of weight {int} at version 1")
   public void table(String key, int weight) {
-    ArrayNode writes = Json.object().putArray("writes");
+    ArrayNode writes = Json.newObject().putArray("writes");
     writes
         .addObject()
         .put("key", "route/" + key)
@@ -62,21 +62,21 @@
         .put("weight", weight)
         .put("limit", 40)
         .put("upstream_limit", 4);
-    standIn.seed(writes);
+    standIn.writeRows(writes);
   }
 
-  /** Causes a fault. */
-  @Given("^the platform is (well|not listening|down|losing answers|slow)$")
+  /** Injects a fault. */
+  @Given("^the platform is (healthy|not listening|down|losing answers|slow)$")
   public void fault(String fault) {
-    if (!fault.equals("well")) {
+    if (!fault.equals("healthy")) {
       client = client(standIn.port(), SHORT);
     }
     switch (fault) {
-      case "down" -> standIn.cause(new PlatformFaults(true, 0, 0));
-      case "losing answers" -> standIn.cause(new PlatformFaults(false, 0, 1));
-      case "slow" -> standIn.cause(new PlatformFaults(false, SLOW_MS, 0));
+      case "down" -> standIn.setFaults(new PlatformFaults(true, 0, 0));
+      case "losing answers" -> standIn.setFaults(new PlatformFaults(false, 0, 1));
+      case "slow" -> standIn.setFaults(new PlatformFaults(false, SLOW_MS, 0));
       case "not listening" -> client = client(1, SHORT);
-      default -> standIn.cause(PlatformFaults.NONE);
+      default -> standIn.setFaults(PlatformFaults.NONE);
     }
   }
 
@@ -87,39 +87,39 @@
     report =
         client
             .commit(List.of(row), List.of())
-            .handle((o, t) -> t == null ? name(o) : name(HttpFailure.of(t)))
+            .handle((o, t) -> t == null ? name(o) : name(HttpException.from(t)))
             .join();
   }
 
   private static String name(TableStore.CommitOutcome o) {
-    return o instanceof TableStore.CommitOutcome.Committed ? "committed" : "a mismatch";
+    return o instanceof TableStore.CommitOutcome.Committed ? "committed" : "a version mismatch";
   }
 
-  private static String name(HttpFailure f) {
-    return f.mayBeProcessed() ? "a failure, sent" : "a failure, not sent";
+  private static String name(HttpException f) {
+    return f.mayHaveBeenProcessed() ? "a failure, sent" : "a failure, not sent";
   }
 
-  /** Checks what the client said. */
+  /** Checks the reported outcome. */
   @Then("^the client reports (.+)$")
   public void check(String expected) {
     assertThat(report).isEqualTo(expected);
   }
 
-  /** Checks what the table has, after any slow write has ended. */
-  @Then("once the platform is well the weight is {int}")
+  /** Checks the stored weight after any slow write has completed. */
+  @Then("once the platform is healthy the weight is {int}")
   public void weight(int weight) throws InterruptedException {
     if (report.contains("failure")) {
       Thread.sleep(2 * SLOW_MS);
     }
-    standIn.cause(PlatformFaults.NONE);
-    ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).changesAfter(0).join();
+    standIn.setFaults(PlatformFaults.NONE);
+    ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).readChanges(0).join();
     assertThat(t.route(KEY).orElseThrow().weight()).isEqualTo(weight);
   }
 
   /** Reads changes. */
   @Then("^a reader at version (\\d+) gets (\\d+) rows? at version (\\d+)$")
   public void changes(long after, int rows, long version) {
-    ConfigurationTable t = client.changesAfter(after).join();
+    ConfigurationTable t = client.readChanges(after).join();
     assertThat(t.routes()).hasSize(rows);
     assertThat(t.version()).isEqualTo(version);
   }
@@ -128,9 +128,9 @@
   @Given("a host list with {string} and {string}")
   public void hosts(String a, String b) {
     for (String address : List.of(a, b)) {
-      standIn.list(address, Json.object().put("role", "entry").put("data_centre", "almaty-1"));
+      standIn.registerHost(address, Json.newObject().put("role", "entry").put("data_centre", "almaty-1"));
     }
-    HostChanges all = client.hostsAfter(0).join();
+    HostChanges all = client.readHostChanges(0).join();
     known = all.applyTo(known);
     knownRevision = all.revision();
     assertThat(known).hasSize(2);
@@ -139,21 +139,21 @@
   /** Removes a host. */
   @When("{string} is removed")
   public void remove(String address) {
-    standIn.unlist(address);
+    standIn.deregisterHost(address);
   }
 
-  /** Reads from the start. */
-  @Then("a reader of the list from the start knows {string} only")
+  /** Reads the whole list. */
+  @Then("a client reading the list from the start has only {string}")
   public void fromStart(String address) {
-    assertThat(client.hostsAfter(0).join().applyTo(new TreeMap<>()).keySet())
+    assertThat(client.readHostChanges(0).join().applyTo(new TreeMap<>()).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
   }
 
-  /** Reads on. */
-  @Then("a reader that knew both knows {string} only")
-  public void goOn(String address) {
-    assertThat(client.hostsAfter(knownRevision).join().applyTo(known).keySet())
+  /** Reads the changes since the last read. */
+  @Then("a client that had both now has only {string}")
+  public void readOn(String address) {
+    assertThat(client.readHostChanges(knownRevision).join().applyTo(known).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
   }
