--- a/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
+++ b/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
@@ -5,11 +5,11 @@
 import dev.cactusstack.decisions.membership.MemberStatus;
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.callers.ArrivalCounter;
+import dev.cactusstack.host.control.ArrivalRateController;
 import dev.cactusstack.host.control.ConfigurationController;
 import dev.cactusstack.host.control.ControlLoop;
 import dev.cactusstack.host.control.Controllers;
 import dev.cactusstack.host.control.MembershipController;
-import dev.cactusstack.host.control.RatesController;
 import dev.cactusstack.host.control.UpstreamsController;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.model.Address;
@@ -64,7 +64,7 @@
             Ticker.SYSTEM,
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             256);
-    var rates = new RatesController(new ArrivalCounter(), members, Ticker.SYSTEM);
+    var rates = new ArrivalRateController(new ArrivalCounter(), members, Ticker.SYSTEM);
     var controllers = new Controllers(loop, members, configuration, upstreams, rates);
     loop.start();
     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
--- a/bench/src/main/java/dev/cactusstack/bench/MeasuringScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/MeasuringScenario.java
@@ -45,9 +45,9 @@
   static Cost measure(BenchOptions o) throws InterruptedException {
     try (var stage = new Stage(o, "")) {
       stage.load(o, BUSY_SHARE, WARM_UP_SECONDS, o.seed());
-      long sent = stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum();
-      long cross = stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum();
-      long refused = stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum();
+      long sent = stage.hosts().stream().mapToLong(EntryHost::linkBytesSent).sum();
+      long cross = stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytesSent).sum();
+      long refused = stage.hosts().stream().mapToLong(EntryHost::linkMessagesDropped).sum();
       long platform = stage.site.platform().bytes();
       long cpu = controlNanos();
       long start = System.nanoTime();
@@ -55,12 +55,12 @@
       double hostSeconds = (System.nanoTime() - start) / 1e9 * stage.hosts().size();
       return new Cost(
           stage.hosts().size(),
-          (stage.hosts().stream().mapToLong(EntryHost::linkBytes).sum() - sent) / hostSeconds,
+          (stage.hosts().stream().mapToLong(EntryHost::linkBytesSent).sum() - sent) / hostSeconds,
           (stage.site.platform().bytes() - platform) / hostSeconds,
-          (stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum() - cross)
+          (stage.hosts().stream().mapToLong(EntryHost::crossDataCentreBytesSent).sum() - cross)
               / hostSeconds,
           (controlNanos() - cpu) / 1e9 / hostSeconds,
-          stage.hosts().stream().mapToLong(EntryHost::linkRefused).sum() - refused,
+          stage.hosts().stream().mapToLong(EntryHost::linkMessagesDropped).sum() - refused,
           stage.hosts().get(0).settings().link().bytesPerSecond());
     }
   }
--- a/bench/src/main/java/dev/cactusstack/bench/ShutdownScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ShutdownScenario.java
@@ -42,7 +42,7 @@
 
   private static Background<Integer> leave(EntryHost h, AtomicLong inFlight) {
     inFlight.addAndGet(h.inFlight());
-    return Background.start("leave-one", h::leave);
+    return Background.start("leave-one", h::shutDownGracefully);
   }
 
   /** Seconds from the listing of an upstream as leaving to the last request that it got. */
--- a/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
@@ -40,7 +40,7 @@
       if (!hosts.awaitReady(READY_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
-      String host = hosts.hosts().get(0).callersAddress().toString();
+      String host = hosts.hosts().get(0).callerAddress().toString();
       String direct = site.upstreams().get(0).address();
       steady(client, host, WARM_UP_SECONDS);
       steady(client, direct, WARM_UP_SECONDS);
@@ -78,7 +78,7 @@
       if (!hosts.awaitReady(READY_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
-      String host = hosts.hosts().get(0).callersAddress().toString();
+      String host = hosts.hosts().get(0).callerAddress().toString();
       loop(client, host, WARM_UP_SECONDS, "XNIO-");
       return loop(client, host, o.seconds(), "XNIO-");
     }
--- a/bench/src/main/java/dev/cactusstack/bench/Stage.java
+++ b/bench/src/main/java/dev/cactusstack/bench/Stage.java
@@ -49,7 +49,7 @@
     }
     callers =
         new EntryPolicy(
-            client, embedded.hosts().stream().map(h -> h.callersAddress().toString()).toList());
+            client, embedded.hosts().stream().map(h -> h.callerAddress().toString()).toList());
   }
 
   /** A stage whose upstreams answer within about two milliseconds, for many requests. */
@@ -88,7 +88,7 @@
     var out = new ByteArrayOutputStream();
     var all = new ArrayList<String>();
     all.add("--operators");
-    all.add(hosts().get(host).operatorsAddress().toString());
+    all.add(hosts().get(host).operatorAddress().toString());
     all.addAll(List.of(args));
     var stream = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code = CtlMain.run(all.toArray(new String[0]), Map.of(), stream, stream);
--- a/bench/src/main/java/dev/cactusstack/bench/TailScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/TailScenario.java
@@ -48,7 +48,7 @@
         }
         var policy =
             new EntryPolicy(
-                client, hosts.hosts().stream().map(h -> h.callersAddress().toString()).toList());
+                client, hosts.hosts().stream().map(h -> h.callerAddress().toString()).toList());
         Phase light = new Phase();
         light.play(
             Arrivals.plan(
--- a/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void shouldServeAndLeaveItOutOfLookUpsWhenAHostCrashes() throws Exception {
-    String gone = test.host(1).callersAddress().toString();
+    String gone = test.host(1).callerAddress().toString();
     assertThat(entries()).contains(gone).contains("\"ttl_ms\":5000").contains("max-age=5");
     test.host(1).close();
     eventually(() -> !entries().contains(gone));
@@ -59,10 +59,10 @@
               }
             });
     eventually(() -> test.host(2).inFlight() > 0);
-    int cutOff = test.host(2).leave();
+    int cutOff = test.host(2).shutDownGracefully();
     assertThat(cutOff).isZero();
     assertThat(slow.get()).startsWith("HTTP/1.1 200");
-    assertThat(entries()).doesNotContain(test.host(2).callersAddress().toString());
+    assertThat(entries()).doesNotContain(test.host(2).callerAddress().toString());
   }
 
   @Test
@@ -103,7 +103,7 @@
             Ticker.SYSTEM,
             InstantSource.system(),
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
-    try (var socket = new java.net.Socket("127.0.0.1", lone.callersAddress().port())) {
+    try (var socket = new java.net.Socket("127.0.0.1", lone.callerAddress().port())) {
       socket
           .getOutputStream()
           .write("GET / HTTP/1.1\r\nHost: search\r\nConnection: close\r\n\r\n".getBytes());
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -9,12 +9,12 @@
 import dev.cactusstack.host.callers.CallersServer;
 import dev.cactusstack.host.callers.ForwardToken;
 import dev.cactusstack.host.callers.KeyedRequests;
+import dev.cactusstack.host.control.ArrivalRateController;
 import dev.cactusstack.host.control.ConfigurationController;
 import dev.cactusstack.host.control.ControlLoop;
 import dev.cactusstack.host.control.Controllers;
 import dev.cactusstack.host.control.EditService;
 import dev.cactusstack.host.control.MembershipController;
-import dev.cactusstack.host.control.RatesController;
 import dev.cactusstack.host.control.UpstreamsController;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.Metrics;
@@ -103,7 +103,7 @@
             new KeyedRequests(claims, settings.requests().claimsPerSecond(), ticker),
             metrics,
             ticker);
-    var rates = new RatesController(callers.arrivals(), members, ticker);
+    var rates = new ArrivalRateController(callers.arrivals(), members, ticker);
     controllers = new Controllers(loop, members, configuration, upstreams, rates);
     running = controllers;
     receiver.open(controllers);
@@ -184,7 +184,7 @@
    *
    * @return the address
    */
-  public Address callersAddress() {
+  public Address callerAddress() {
     return settings.callers().address();
   }
 
@@ -193,7 +193,7 @@
    *
    * @return the address
    */
-  public Address operatorsAddress() {
+  public Address operatorAddress() {
     return settings.operators().address();
   }
 
@@ -211,7 +211,7 @@
    *
    * @return the count
    */
-  public long linkBytes() {
+  public long linkBytesSent() {
     return transport.sentBytes();
   }
 
@@ -220,7 +220,7 @@
    *
    * @return the count
    */
-  public long crossDataCentreBytes() {
+  public long crossDataCentreBytesSent() {
     return sender.crossBytes();
   }
 
@@ -229,7 +229,7 @@
    *
    * @return the count
    */
-  public long linkRefused() {
+  public long linkMessagesDropped() {
     return budget.rejectedCount();
   }
 
@@ -268,7 +268,7 @@
    * @return the number of requests cut off because the drain timeout passed
    * @throws InterruptedException when the waiting thread is interrupted
    */
-  public int leave() throws InterruptedException {
+  public int shutDownGracefully() throws InterruptedException {
     LOG.atInfo().log(
         "%s",
         Event.named("leaving").with("host", settings.id()).with("in_flight", callers.inFlight()));
--- a/host/src/main/java/dev/cactusstack/host/HostMain.java
+++ b/host/src/main/java/dev/cactusstack/host/HostMain.java
@@ -136,8 +136,8 @@
 
   private static Event ready(EntryHost host) {
     return Event.named("ready")
-        .with("callers", host.callersAddress())
-        .with("operators", host.operatorsAddress())
+        .with("callers", host.callerAddress())
+        .with("operators", host.operatorAddress())
         .with("host", host.settings().id());
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/ShutdownSignals.java
+++ b/host/src/main/java/dev/cactusstack/host/ShutdownSignals.java
@@ -49,7 +49,7 @@
 
   private static int leave(EntryHost host) {
     try {
-      return host.leave();
+      return host.shutDownGracefully();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return host.inFlight();
--- a/host/src/main/java/dev/cactusstack/host/control/Controllers.java
+++ b/host/src/main/java/dev/cactusstack/host/control/Controllers.java
@@ -26,7 +26,7 @@
       MembershipController members,
       ConfigurationController configuration,
       UpstreamsController upstreams,
-      RatesController rates) {
+      ArrivalRateController rates) {
     this.loop = Objects.requireNonNull(loop, "loop is null");
     this.members = Objects.requireNonNull(members, "members is null");
     this.configuration = Objects.requireNonNull(configuration, "configuration is null");
