--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -8,7 +8,7 @@
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.callers.CallersServer;
 import dev.cactusstack.host.callers.ForwardToken;
-import dev.cactusstack.host.callers.KeyedRequests;
+import dev.cactusstack.host.callers.IdempotencyKeyClaims;
 import dev.cactusstack.host.control.ArrivalRateController;
 import dev.cactusstack.host.control.ConfigurationController;
 import dev.cactusstack.host.control.ControlLoop;
@@ -100,7 +100,7 @@
             settings.requests(),
             upstreams::view,
             new ForwardToken(settings.id(), keys, clock),
-            new KeyedRequests(claims, settings.requests().claimsPerSecond(), ticker),
+            new IdempotencyKeyClaims(claims, settings.requests().claimsPerSecond(), ticker),
             metrics,
             ticker);
     var rates = new ArrivalRateController(callers.arrivals(), members, ticker);
--- a/host/src/main/java/dev/cactusstack/host/callers/ArrivalCounter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ArrivalCounter.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the requests that callers sent to this host, by service. Thread-safe. */
+/** Counts the requests that callers sent to this host, per service. Thread-safe. */
 public final class ArrivalCounter {
   private final Map<ServiceName, LongAdder> counts = new ConcurrentHashMap<>();
 
-  void count(ServiceName s) {
+  void recordArrival(ServiceName s) {
     LongAdder a = counts.get(s);
     if (a == null) {
       a = counts.computeIfAbsent(s, x -> new LongAdder());
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Takes the counts since the last call.
+   * Returns the counts since the last call and resets them.
    *
    * @return requests by service
    */
-  public Map<ServiceName, Long> take() {
+  public Map<ServiceName, Long> takeCounts() {
     var taken = new TreeMap<ServiceName, Long>();
     counts.forEach((s, a) -> taken.put(s, a.sumThenReset()));
     return taken;
--- a/host/src/main/java/dev/cactusstack/host/callers/BodyPump.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/BodyPump.java
@@ -9,10 +9,11 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Moves a body from one channel to another as fast as the slower one goes, through one pooled
- * buffer that it holds only while there are bytes to write.
+ * Copies a body from one channel to another with back-pressure, through one pooled buffer that it
+ * holds only while there are bytes to write.
  *
- * <p>Invariant: the listener is told of exactly one end. Confined to the channels' I/O thread.
+ * <p>Invariant: the listener receives exactly one of the terminal events. Confined to the channels'
+ * I/O thread.
  */
 final class BodyPump {
   private final StreamSourceChannel source;
@@ -22,10 +23,10 @@
   private @Nullable PooledByteBuffer pooled;
   private boolean ended;
 
-  /** Follows a transfer. */
+  /** Receives the events of a transfer. */
   interface Listener {
-    /** Some bytes have moved. */
-    void moved();
+    /** Some bytes were transferred. */
+    void bytesMoved();
 
     /** All bytes have been written; the sink is not yet shut down. */
     void ended(StreamSinkChannel sink);
@@ -48,19 +49,19 @@
   static BodyPump start(
       StreamSourceChannel source, StreamSinkChannel sink, ByteBufferPool pool, Listener listener) {
     var pump = new BodyPump(source, sink, pool, listener);
-    source.getReadSetter().set(ch -> pump.move());
-    sink.getWriteSetter().set(ch -> pump.move());
-    pump.move();
+    source.getReadSetter().set(ch -> pump.transfer());
+    sink.getWriteSetter().set(ch -> pump.transfer());
+    pump.transfer();
     return pump;
   }
 
-  /** Stops moving and gives the buffer back; the channels are left to the caller. */
+  /** Stops the transfer and returns the buffer to the pool; the channels are left open. */
   void stop() {
     ended = true;
-    free();
+    releaseBuffer();
   }
 
-  private void move() {
+  private void transfer() {
     while (!ended) {
       if (!writePending() || !readMore()) {
         return;
@@ -68,7 +69,7 @@
     }
   }
 
-  /** Writes what has been read; returns false when it has to wait. */
+  /** Writes the bytes that were read; returns false when the sink is not ready. */
   private boolean writePending() {
     PooledByteBuffer p = pooled;
     if (p == null) {
@@ -82,7 +83,7 @@
           sink.resumeWrites();
           return false;
         }
-        listener.moved();
+        listener.bytesMoved();
       }
     } catch (IOException e) {
       stop();
@@ -93,7 +94,7 @@
     return true;
   }
 
-  /** Reads once; returns false when there is nothing to write now. */
+  /** Reads once; returns false when there are no bytes to write now. */
   private boolean readMore() {
     PooledByteBuffer p = pooled == null ? pool.allocate() : pooled;
     pooled = p;
@@ -108,10 +109,10 @@
     }
     if (n > 0) {
       b.flip();
-      listener.moved();
+      listener.bytesMoved();
       return true;
     }
-    free();
+    releaseBuffer();
     if (n == 0) {
       sink.suspendWrites();
       source.resumeReads();
@@ -124,7 +125,7 @@
     return false;
   }
 
-  private void free() {
+  private void releaseBuffer() {
     if (pooled != null) {
       pooled.close();
       pooled = null;
--- a/host/src/main/java/dev/cactusstack/host/callers/CactusHeaders.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CactusHeaders.java
@@ -8,20 +8,20 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The header fields of the system, and the rules for passing fields on. Stateless. */
+/** The header fields of cactusstack, and the rules for forwarding header fields. Stateless. */
 final class CactusHeaders {
   static final HttpString OUTCOME = new HttpString("Cactusstack-Outcome");
   static final HttpString FORWARDED = new HttpString("Cactusstack-Forwarded");
   static final HttpString LOAD = new HttpString("Cactusstack-Load");
   static final HttpString ROUTE_LOAD = new HttpString("Cactusstack-Route-Load");
 
-  /** On a request that was passed on: answer at once rather than let it wait. */
+  /** On a forwarded request: the owner refuses the request instead of queueing it. */
   static final HttpString MAY_REFUSE = new HttpString("Cactusstack-May-Refuse");
 
-  /** How long the caller still waits, in milliseconds; shrinks on the way down. */
+  /** How long the caller still waits, in milliseconds; each host forwards the remaining time. */
   static final HttpString DEADLINE = new HttpString("Cactusstack-Deadline-Ms");
 
-  /** Marks a repeated request, so that hosts further down do not repeat it again. */
+  /** Marks a retried request, so that hosts downstream do not retry it again. */
   static final HttpString RETRY = new HttpString("Cactusstack-Retry");
 
   static final HttpString DATA_CENTRE = new HttpString("Cactusstack-Data-Centre");
@@ -45,20 +45,20 @@
 
   /**
    * Copies the end-to-end fields. Leaves out hop-by-hop fields (RFC 9110, section 7.6.1), those
-   * that {@code Connection} names, and the system's own.
+   * that {@code Connection} names, and the fields of cactusstack.
    */
   static void copyEndToEnd(HeaderMap from, HeaderMap to) {
-    Set<HttpString> named = namedByConnection(from);
+    Set<HttpString> named = connectionOptions(from);
     for (HeaderValues v : from) {
       HttpString name = v.getHeaderName();
-      boolean passed = !HOP_BY_HOP.contains(name) && !named.contains(name) && !isOwn(name);
+      boolean passed = !HOP_BY_HOP.contains(name) && !named.contains(name) && !isSystemHeader(name);
       if (passed) {
         to.putAll(name, v);
       }
     }
   }
 
-  private static Set<HttpString> namedByConnection(HeaderMap headers) {
+  private static Set<HttpString> connectionOptions(HeaderMap headers) {
     HeaderValues connection = headers.get(Headers.CONNECTION);
     if (connection == null) {
       return Set.of();
@@ -69,14 +69,14 @@
         names.add(new HttpString(name.trim()));
       }
     }
-    // These delimit the message; a caller cannot have them removed.
+    // These delimit or route the message, so a caller cannot have them removed.
     names.remove(Headers.CONTENT_LENGTH);
     names.remove(Headers.HOST);
     return names;
   }
 
-  private static boolean isOwn(HttpString name) {
-    // Nearly all names are told apart by two letters, without a copy.
+  private static boolean isSystemHeader(HttpString name) {
+    // Comparing two letters rules out nearly all names without copying the name.
     return name.length() > PREFIX.length()
         && (name.byteAt(0) | 0x20) == PREFIX.charAt(0)
         && (name.byteAt(2) | 0x20) == PREFIX.charAt(2)
--- a/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
@@ -14,16 +14,22 @@
 import java.util.function.Supplier;
 import org.xnio.Options;
 
-/** The port for callers: size and framing checks, look-ups, then requests. Thread-safe. */
+/**
+ * The HTTP server for callers: checks size and framing, then handles look-ups and requests.
+ * Thread-safe.
+ */
 public final class CallersServer implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
-  private static final int BUFFERS_POOLED = 256;
-  private static final int BUFFERS_PER_THREAD = 8;
-  private static final int RETRY_RESERVE = 50;
-  private static final int HEDGE_RESERVE = 20;
+  private static final int MAX_POOLED_BUFFERS = 256;
+  private static final int THREAD_LOCAL_BUFFERS = 8;
+  private static final int RETRY_BUDGET_RESERVE = 50;
+  private static final int HEDGE_BUDGET_RESERVE = 20;
 
-  /** Room above the settings' limit, so that a typed answer can be given instead of a cut. */
-  private static final int HEADER_ROOM = 4;
+  /**
+   * Undertow's limit is higher than the configured one by this factor, so that oversized headers
+   * get a problem response instead of a closed connection.
+   */
+  private static final int HEADER_LIMIT_FACTOR = 4;
 
   private static final int MAX_HEADERS = 400;
 
@@ -35,10 +41,10 @@
    * Creates a server that is not yet started.
    *
    * @param callers the port's settings
-   * @param requests how requests are treated
-   * @param view reads the routing snapshot in force
-   * @param token marks requests that are passed on
-   * @param keyed runs requests with an {@code Idempotency-Key} once
+   * @param requests the settings for requests
+   * @param view supplies the current routing snapshot
+   * @param token issues and verifies the tokens of forwarded requests
+   * @param keyed claims the keys of requests with an {@code Idempotency-Key}
    * @param metrics histograms and counters
    * @param ticker the clock
    */
@@ -47,38 +53,39 @@
       RequestSettings requests,
       Supplier<RoutingView> view,
       ForwardToken token,
-      KeyedRequests keyed,
+      IdempotencyKeyClaims keyed,
       Metrics metrics,
       Ticker ticker) {
     Objects.requireNonNull(callers, "callers is null");
-    var buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_POOLED, BUFFERS_PER_THREAD);
+    var buffers =
+        new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
     var pools = new ConnectionPools(ticker, buffers, requests.connectTimeoutMs());
     metrics.gauge(
         "cactusstack.upstream.connections.opened",
         "Connections opened to upstreams and other hosts",
         pools,
-        ConnectionPools::opened);
-    var path =
-        new DataPath(
+        ConnectionPools::openedCount);
+    var context =
+        new DataPathContext(
             view,
             pools,
             token,
             metrics,
-            new RetryBudget(requests.retryShare(), RETRY_RESERVE),
-            new RetryBudget(requests.hedgeShare(), HEDGE_RESERVE),
+            new RetryBudget(requests.retryShare(), RETRY_BUDGET_RESERVE),
+            new RetryBudget(requests.hedgeShare(), HEDGE_BUDGET_RESERVE),
             keyed,
             arrivals,
-            new RemoteLoads(ticker),
+            new RemoteRouteLoads(ticker),
             requests,
             ticker,
-            DataPath.SERVING_RANDOM);
-    inFlight = new InFlightFilter(chain(callers, path));
+            DataPathContext.SERVING_RANDOM);
+    inFlight = new InFlightFilter(chain(callers, context));
     server = server(callers, buffers);
   }
 
-  private static HttpHandler chain(CallersSettings callers, DataPath path) {
-    HttpHandler service = new HttpContinueReadHandler(new ServiceFilter(path));
-    HttpHandler entries = new EntriesFilter(callers, path.view(), path.random(), service);
+  private static HttpHandler chain(CallersSettings callers, DataPathContext context) {
+    HttpHandler service = new HttpContinueReadHandler(new ServiceFilter(context));
+    HttpHandler entries = new EntryLookupFilter(callers, context.view(), context.random(), service);
     return new FramingFilter(callers, entries);
   }
 
@@ -93,7 +100,7 @@
         .setSocketOption(Options.REUSE_ADDRESSES, true)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, s.receiveTimeoutMs())
         .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, s.idleTimeoutMs())
-        .setServerOption(UndertowOptions.MAX_HEADER_SIZE, s.maxHeaderBytes() * HEADER_ROOM)
+        .setServerOption(UndertowOptions.MAX_HEADER_SIZE, s.maxHeaderBytes() * HEADER_LIMIT_FACTOR)
         .setServerOption(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, s.maxBodyBytes())
         .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
@@ -120,13 +127,13 @@
     return arrivals;
   }
 
-  /** Asks callers to close their connections after the answers they wait for. */
+  /** Closes callers' connections after their pending responses. */
   public void beginDrain() {
     inFlight.beginDrain();
   }
 
   /**
-   * Returns the number of requests that have no whole answer yet.
+   * Returns the number of requests whose response is not yet complete.
    *
    * @return the count
    */
--- a/host/src/main/java/dev/cactusstack/host/callers/DataPath.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/DataPathContext.java
@@ -10,41 +10,41 @@
 import java.util.function.Supplier;
 
 /**
- * What every request needs of its host.
+ * The components that a host provides to every request.
  *
- * <p>Immutable; its parts are thread-safe.
+ * <p>Immutable; its components are thread-safe.
  *
- * @param view reads the routing snapshot in force
+ * @param view supplies the current routing snapshot
  * @param pools connections to upstreams and hosts
- * @param token marks requests that are passed on
+ * @param token issues and verifies the tokens of forwarded requests
  * @param metrics histograms and counters
- * @param retries allows retries
- * @param hedges allows second attempts beside a slow one
- * @param keyed runs requests with an {@code Idempotency-Key} once
+ * @param retries the budget for retries
+ * @param hedges the budget for hedged attempts
+ * @param idempotencyKeys claims the keys of requests with an {@code Idempotency-Key}
  * @param arrivals counts requests of callers
- * @param remoteLoads what other owners said of their load
- * @param settings how requests are treated
+ * @param remoteLoads the load that other owners reported
+ * @param settings the settings for requests
  * @param ticker the clock
  * @param random draws the data centre of a request; thread-safe
  */
-record DataPath(
+record DataPathContext(
     Supplier<RoutingView> view,
     ConnectionPools pools,
     ForwardToken token,
     Metrics metrics,
     RetryBudget retries,
     RetryBudget hedges,
-    KeyedRequests keyed,
+    IdempotencyKeyClaims idempotencyKeys,
     ArrivalCounter arrivals,
-    RemoteLoads remoteLoads,
+    RemoteRouteLoads remoteLoads,
     RequestSettings settings,
     Ticker ticker,
     Supplier<Random> random) {
 
-  /** Unseeded randomness for a host in service. */
+  /** The unseeded source of randomness that hosts use in production. */
   static final Supplier<Random> SERVING_RANDOM = ThreadLocalRandom::current;
 
-  DataPath {
+  DataPathContext {
     Objects.requireNonNull(view, "view is null");
     Objects.requireNonNull(random, "random is null");
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/Destinations.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/DestinationSelector.java
@@ -9,56 +9,59 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The data centres that one request may go to, in order of preference: the one that the service's
- * split draws, then the others in an order drawn by the operators' weights.
+ * Selects the data centres to which one request may be sent: first the one drawn from the service's
+ * traffic split, then the others in an order drawn by the operators' weights.
  *
- * <p>A data centre without a free place is left for another one only when the expected wait is
- * longer than the round trip to the other. When none has a free place, the request waits where the
- * wait is expected to be shortest, round trip included. Confined to one thread.
+ * <p>When the preferred data centre has no free capacity, another one is tried only if the expected
+ * wait is longer than the round trip to that other one. When none has free capacity, the request
+ * waits where the sum of expected wait and round trip is lowest. Confined to one thread.
  */
-final class Destinations {
+final class DestinationSelector {
   private static final double UNKNOWN_WAIT_MS = 1_000;
 
   private final ServiceName service;
-  private final RemoteLoads loads;
+  private final RemoteRouteLoads loads;
   private final Random random;
   private final List<DataCentre> failed = new ArrayList<>(2);
-  private final List<DataCentre> asked = new ArrayList<>(2);
-  private @Nullable DataCentre first;
+  private final List<DataCentre> refusedDataCentres = new ArrayList<>(2);
+  private @Nullable DataCentre firstChoice;
 
-  /** Where to send a request, and whether it may be refused there. */
+  /** A selected target, and whether its owner may refuse the request instead of queueing it. */
   record Choice(Target target, boolean mayRefuse) {}
 
-  Destinations(ServiceName service, RemoteLoads loads, Random random) {
+  DestinationSelector(ServiceName service, RemoteRouteLoads loads, Random random) {
     this.service = service;
     this.loads = loads;
     this.random = random;
   }
 
-  /** Leaves out a data centre whose owner could not be used. */
+  /** Excludes a data centre whose owner could not be used. */
   void failed(DataCentre d) {
     failed.add(d);
   }
 
-  /** Makes all data centres usable again; returns false when none was left out. */
-  boolean forgetFailures() {
+  /** Clears the exclusions; returns false when no data centre was excluded. */
+  boolean clearFailures() {
     boolean any = !failed.isEmpty();
     failed.clear();
     return any;
   }
 
-  /** Notes that a data centre had no free place. */
+  /** Records that a data centre had no free capacity. */
   void refused(DataCentre d) {
-    asked.add(d);
+    refusedDataCentres.add(d);
   }
 
-  /** Chooses a data centre; {@code mayAsk} tells whether a refusal would cost nothing. */
-  @Nullable Choice next(RoutingView view, boolean mayAsk) {
+  /**
+   * Selects a target; null when none is usable. {@code refusalIsCheap} states that a refused
+   * request can be sent elsewhere at no extra cost.
+   */
+  @Nullable Choice select(RoutingView view, boolean refusalIsCheap) {
     ServiceView s = view.service(service);
     if (s == null) {
       return null;
     }
-    Target free = mayAsk ? nextToAsk(s) : null;
+    Target free = refusalIsCheap ? selectImmediate(s) : null;
     if (free != null) {
       return new Choice(free, true);
     }
@@ -66,36 +69,36 @@
     return shortest == null ? null : new Choice(shortest, false);
   }
 
-  private @Nullable Target nextToAsk(ServiceView s) {
-    if (first == null) {
-      first = drawFirst(s);
+  private @Nullable Target selectImmediate(ServiceView s) {
+    if (firstChoice == null) {
+      firstChoice = drawFirst(s);
     }
-    Target preferred = first == null ? null : s.at(first);
-    if (preferred != null && isWorthAsking(preferred)) {
+    Target preferred = firstChoice == null ? null : s.targetIn(firstChoice);
+    if (preferred != null && isCandidate(preferred)) {
       return preferred;
     }
-    double waitHere = preferred == null ? 0 : waitMs(preferred);
+    double preferredWaitMs = preferred == null ? 0 : waitMs(preferred);
     var others = new ArrayList<Target>(s.targets().size());
     for (Target t : s.targets()) {
-      if (isWorthAsking(t) && roundTripMs(t) < waitHere) {
+      if (isCandidate(t) && roundTripMs(t) < preferredWaitMs) {
         others.add(t);
       }
     }
-    return byWeight(others);
+    return pickByWeight(others);
   }
 
   private @Nullable DataCentre drawFirst(ServiceView s) {
     DataCentre drawn = s.split().choose(random.nextDouble()).orElse(null);
-    if (drawn != null && s.at(drawn) != null) {
+    if (drawn != null && s.targetIn(drawn) != null) {
       return drawn;
     }
-    Target t = byWeight(s.targets());
+    Target t = pickByWeight(s.targets());
     return t == null ? null : t.key().dataCentre();
   }
 
-  private boolean isWorthAsking(Target t) {
+  private boolean isCandidate(Target t) {
     DataCentre d = t.key().dataCentre();
-    return !failed.contains(d) && !asked.contains(d) && !loads.isBusy(t.key());
+    return !failed.contains(d) && !refusedDataCentres.contains(d) && !loads.isBusy(t.key());
   }
 
   private @Nullable Target shortestWait(ServiceView s) {
@@ -122,10 +125,10 @@
   }
 
   private static double roundTripMs(Target t) {
-    return t.owner() instanceof RouteOwner.Remote r ? r.hop().roundTripMs() : 0;
+    return t.owner() instanceof RouteOwner.Remote r ? r.remoteHost().roundTripMs() : 0;
   }
 
-  private @Nullable Target byWeight(List<Target> targets) {
+  private @Nullable Target pickByWeight(List<Target> targets) {
     int sum = 0;
     for (Target t : targets) {
       sum += t.weight();
--- a/host/src/main/java/dev/cactusstack/host/callers/Entry.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntryEndpoint.java
@@ -5,15 +5,15 @@
 import java.util.Objects;
 
 /**
- * An entry host as callers are told of it. Immutable and thread-safe.
+ * The address of an entry host as announced to callers. Immutable and thread-safe.
  *
  * @param address its address for callers
- * @param dataCentre where it is
+ * @param dataCentre its data centre
  */
-public record Entry(Address address, DataCentre dataCentre) {
+public record EntryEndpoint(Address address, DataCentre dataCentre) {
 
   /** Checks the components. */
-  public Entry {
+  public EntryEndpoint {
     Objects.requireNonNull(address, "address is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/EntriesFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntryLookupFilter.java
@@ -24,8 +24,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Answers callers' look-ups of entry hosts; passes on every other request. Thread-safe. */
-final class EntriesFilter implements HttpHandler {
+/**
+ * Handles callers' look-ups of entry hosts; passes every other request to the next handler.
+ * Thread-safe.
+ */
+final class EntryLookupFilter implements HttpHandler {
   static final String PATH = "/.well-known/cactusstack/entries";
 
   private final CallersSettings settings;
@@ -33,7 +36,7 @@
   private final Supplier<Random> random;
   private final HttpHandler next;
 
-  EntriesFilter(
+  EntryLookupFilter(
       CallersSettings settings,
       Supplier<RoutingView> view,
       Supplier<Random> random,
@@ -51,7 +54,8 @@
       return;
     }
     if (!x.getRequestMethod().equals(Methods.GET) && !x.getRequestMethod().equals(Methods.HEAD)) {
-      Problems.send(x, Problem.invalid("a look-up is a GET request", "use GET"), Outcome.NOT_RUN);
+      ProblemResponses.send(
+          x, Problem.invalid("a look-up is a GET request", "use GET"), Outcome.NOT_RUN);
       return;
     }
     Deque<String> names = x.getQueryParameters().get("service");
@@ -62,20 +66,20 @@
             : ServiceName.parse(names.getFirst());
     RoutingView v = view.get();
     service
-        .flatMap(s -> known(v, s))
+        .flatMap(s -> requireKnown(v, s))
         .fold(
             p -> {
-              Problems.send(x, p, Outcome.NOT_RUN);
+              ProblemResponses.send(x, p, Outcome.NOT_RUN);
               return true;
             },
             s -> {
-              answer(x, v);
+              respond(x, v);
               return true;
             });
   }
 
-  private static Result<ServiceName> known(RoutingView v, ServiceName s) {
-    return v.knows(s) ? Result.success(s) : Result.failure(unknownService(v, s));
+  private static Result<ServiceName> requireKnown(RoutingView v, ServiceName s) {
+    return v.hasService(s) ? Result.success(s) : Result.failure(unknownService(v, s));
   }
 
   static Problem unknownService(RoutingView v, ServiceName s) {
@@ -91,10 +95,10 @@
         "use a service that 'cactusctl table show' lists");
   }
 
-  private void answer(HttpServerExchange x, RoutingView v) {
+  private void respond(HttpServerExchange x, RoutingView v) {
     ObjectNode body = Json.object();
     ArrayNode list = body.putArray("entries");
-    for (Entry e : ordered(v, x.getSourceAddress().getAddress())) {
+    for (EntryEndpoint e : ordered(v, x.getSourceAddress().getAddress())) {
       list.addObject()
           .put("address", e.address().toString())
           .put("data_centre", e.dataCentre().value());
@@ -106,11 +110,11 @@
     x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
   }
 
-  /** The entries of the caller's data centre first; each group in random order. */
-  private List<Entry> ordered(RoutingView v, InetAddress caller) {
+  /** Orders the entries: those of the caller's data centre first, each group in random order. */
+  private List<EntryEndpoint> ordered(RoutingView v, InetAddress caller) {
     DataCentre nearest = nearest(v, caller);
-    List<Entry> near = new ArrayList<>();
-    List<Entry> far = new ArrayList<>();
+    List<EntryEndpoint> near = new ArrayList<>();
+    List<EntryEndpoint> far = new ArrayList<>();
     v.entries().forEach(e -> (e.dataCentre().equals(nearest) ? near : far).add(e));
     Collections.shuffle(near, random.get());
     Collections.shuffle(far, random.get());
--- a/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Proves that a request was passed on by another entry host, so that callers cannot pretend it.
+ * Issues and verifies tokens that prove that a request was forwarded by an entry host, so that
+ * callers cannot forge this.
  *
- * <p>Form: {@code HOST MINUTE KEY TAG}. A token is valid for the minute that it names and the ones
- * next to it. Thread-safe.
+ * <p>Format: {@code HOST MINUTE KEY TAG}. A token is valid in the minute that it contains, the one
+ * before and the one after. Thread-safe.
  */
 public final class ForwardToken {
   private static final long MINUTE_MS = 60_000;
-  private static final int MAX_REMEMBERED = 1_024;
+  private static final int MAX_CACHED_TOKENS = 1_024;
 
   private final HostId self;
   private final KeyRing keys;
@@ -60,7 +61,7 @@
         return false;
       }
       minute = Long.parseLong(token.split(" ")[1]);
-      if (verified.size() >= MAX_REMEMBERED) {
+      if (verified.size() >= MAX_CACHED_TOKENS) {
         verified.clear();
       }
       verified.put(token, minute);
--- a/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
@@ -12,11 +12,11 @@
 import java.util.Optional;
 
 /**
- * Refuses requests whose end or meaning another server could read differently (RFC 9112, sections 3
- * and 6.3), and those over the size limits. Stateless and thread-safe.
+ * Rejects requests that another server could frame or interpret differently (RFC 9112, sections 3
+ * and 6.3), and requests over the size limits. Stateless and thread-safe.
  */
 final class FramingFilter implements HttpHandler {
-  private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
+  private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
   private final CallersSettings settings;
   private final HttpHandler next;
@@ -28,16 +28,16 @@
 
   @Override
   public void handleRequest(HttpServerExchange x) throws Exception {
-    Optional<Problem> fault = fault(x);
+    Optional<Problem> fault = findProblem(x);
     if (fault.isPresent()) {
       x.setPersistent(false);
-      Problems.send(x, fault.get(), Outcome.NOT_RUN);
+      ProblemResponses.send(x, fault.get(), Outcome.NOT_RUN);
       return;
     }
     next.handleRequest(x);
   }
 
-  private Optional<Problem> fault(HttpServerExchange x) {
+  private Optional<Problem> findProblem(HttpServerExchange x) {
     HeaderMap h = x.getRequestHeaders();
     int size = x.getRequestURI().length() + x.getQueryString().length();
     for (HeaderValues v : h) {
@@ -118,7 +118,7 @@
     for (int i = 0; i < name.length(); i++) {
       int c = name.byteAt(i) & 0xff;
       boolean alphanumeric = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z';
-      if (!alphanumeric && TOKEN_MARKS.indexOf(c) < 0) {
+      if (!alphanumeric && TOKEN_PUNCTUATION.indexOf(c) < 0) {
         return false;
       }
     }
--- a/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
@@ -19,68 +19,71 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs a request with an {@code Idempotency-Key} once, however often and wherever it arrives: the
- * key is claimed in the platform's table before anything is sent.
+ * Ensures that a request with an {@code Idempotency-Key} runs at most once, at whichever host it
+ * arrives and however often: the key is claimed in the platform's table before the request is sent.
  *
- * <p>Invariant: a request passes only when this host holds its claim. Thread-safe.
+ * <p>Invariant: a request is admitted only when this host holds its claim. Thread-safe.
  */
-public final class KeyedRequests {
+public final class IdempotencyKeyClaims {
   private static final HttpString HEADER = new HttpString("Idempotency-Key");
   private static final int DIGEST_BYTES = 16;
 
   private final ClaimStore store;
-  private final TokenBucket perSecond;
+  private final TokenBucket claimRateLimiter;
   private final Ticker ticker;
 
   /** A claim that this host holds. */
-  record Held(ClaimKey key, String holder) {}
+  record HeldClaim(ClaimKey key, String holder) {}
 
-  /** Either a held claim, or the answer that the caller gets instead. */
-  record Admission(@Nullable Held held, @Nullable Problem problem, Outcome outcome) {}
+  /** Either a held claim, or the problem that the caller receives instead. */
+  record Admission(@Nullable HeldClaim heldClaim, @Nullable Problem problem, Outcome outcome) {}
 
   /**
-   * Creates the filter.
+   * Creates an instance.
    *
-   * @param store keeps the claims
-   * @param claimsPerSecond most claims that this host makes in a second
+   * @param store stores the claims
+   * @param claimsPerSecond maximum number of claims that this host makes per second
    * @param ticker the clock
    */
-  public KeyedRequests(ClaimStore store, int claimsPerSecond, Ticker ticker) {
+  public IdempotencyKeyClaims(ClaimStore store, int claimsPerSecond, Ticker ticker) {
     this.store = Objects.requireNonNull(store, "store is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-    this.perSecond = new TokenBucket(claimsPerSecond, claimsPerSecond, ticker.millis());
+    this.claimRateLimiter = new TokenBucket(claimsPerSecond, claimsPerSecond, ticker.millis());
   }
 
-  /** Whether a request must be claimed: the first host claims it, the owner does not. */
-  static boolean concerns(HttpServerExchange x, RequestFacts facts) {
-    return !facts.idempotent()
-        && facts.forwardedTo().isEmpty()
+  /**
+   * Returns whether a request must be claimed. The host that receives it from the caller claims it;
+   * the owner of the route does not.
+   */
+  static boolean requiresClaim(HttpServerExchange x, RequestAttributes attributes) {
+    return !attributes.idempotent()
+        && attributes.forwardedTo().isEmpty()
         && x.getRequestHeaders().contains(HEADER);
   }
 
-  CompletableFuture<Admission> admit(HttpServerExchange x, RequestFacts facts) {
-    if (!perSecond.tryAcquire(1, ticker.millis())) {
+  CompletableFuture<Admission> admit(HttpServerExchange x, RequestAttributes attributes) {
+    if (!claimRateLimiter.tryAcquire(1, ticker.millis())) {
       return CompletableFuture.completedFuture(
           refused(
               ProblemKind.OVERLOADED,
-              "more requests with an Idempotency-Key than the platform bears",
+              "the rate of requests with an Idempotency-Key exceeds claims_per_second",
               "repeat the request after a pause",
               Outcome.NOT_RUN));
     }
     String target = x.getRequestMethod() + " " + x.getRequestURI() + "?" + x.getQueryString();
-    String given = String.valueOf(x.getRequestHeaders().getFirst(HEADER));
-    var held =
-        new Held(
-            new ClaimKey(facts.service(), digest(given), digest(target)),
+    String keyValue = String.valueOf(x.getRequestHeaders().getFirst(HEADER));
+    var heldClaim =
+        new HeldClaim(
+            new ClaimKey(attributes.service(), digest(keyValue), digest(target)),
             UUID.randomUUID().toString());
     return store
-        .claim(held.key(), held.holder())
-        .handle((o, t) -> t == null ? admission(o, held) : unavailable());
+        .claim(heldClaim.key(), heldClaim.holder())
+        .handle((o, t) -> t == null ? admission(o, heldClaim) : unavailable());
   }
 
-  private static Admission admission(ClaimOutcome o, Held held) {
+  private static Admission admission(ClaimOutcome o, HeldClaim heldClaim) {
     if (o instanceof ClaimOutcome.Granted) {
-      return new Admission(held, null, Outcome.UNKNOWN);
+      return new Admission(heldClaim, null, Outcome.UNKNOWN);
     }
     if (o instanceof ClaimOutcome.AlreadyAnswered a) {
       return refused(
@@ -98,12 +101,12 @@
     }
     return refused(
         ProblemKind.CONFLICT,
-        "the same request runs now, or its outcome was lost",
-        "repeat it later with the same key, or look up its effect; it is not run again",
+        "the same request is in progress, or its outcome is not known",
+        "retry it later with the same key, or look up its effect; it is not run again",
         Outcome.UNKNOWN);
   }
 
-  /** Nothing was sent yet, so the request certainly did not run. */
+  /** The request was not sent yet, so it certainly did not run. */
   private static Admission unavailable() {
     return refused(
         ProblemKind.PLATFORM_UNAVAILABLE,
@@ -117,12 +120,12 @@
     return new Admission(null, new Problem(kind, message, remedy), outcome);
   }
 
-  void answered(Held held, int status) {
-    store.finished(held.key(), held.holder(), status);
+  void recordStatus(HeldClaim heldClaim, int status) {
+    store.finished(heldClaim.key(), heldClaim.holder(), status);
   }
 
-  void notRun(Held held) {
-    store.released(held.key(), held.holder());
+  void releaseNotRun(HeldClaim heldClaim) {
+    store.released(heldClaim.key(), heldClaim.holder());
   }
 
   private static String digest(String text) {
--- a/host/src/main/java/dev/cactusstack/host/callers/InFlightFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/InFlightFilter.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Counts requests without a whole answer. While draining, requests are still served, but their
- * connections are closed afterwards. Thread-safe.
+ * Counts requests whose response is not yet complete. While draining, requests are still served,
+ * but their connections are closed afterwards. Thread-safe.
  */
 final class InFlightFilter implements HttpHandler {
   private final HttpHandler next;
--- a/host/src/main/java/dev/cactusstack/host/callers/LoadReport.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/LoadReport.java
@@ -1,20 +1,20 @@
 package dev.cactusstack.host.callers;
 
 /**
- * An upstream's report on one of its answers: {@code Cactusstack-Load: in-flight=3, slots=4,
- * state=warm}.
+ * The load report of an upstream on one of its responses: {@code Cactusstack-Load: in-flight=3,
+ * slots=4, state=warm}.
  *
  * <p>Immutable and thread-safe.
  *
- * @param state what the upstream says of itself
+ * @param state the state that the upstream reports
  */
-record LoadReport(Reported state) {
+record LoadReport(ReportedState state) {
   private static final String STATE = "state=";
-  static final LoadReport NONE = new LoadReport(Reported.NOTHING);
+  static final LoadReport NONE = new LoadReport(ReportedState.UNSPECIFIED);
 
-  /** What an upstream can say of itself. */
-  enum Reported {
-    NOTHING,
+  /** The states that an upstream can report. */
+  enum ReportedState {
+    UNSPECIFIED,
     WARM,
     COLD,
     LEAVING
@@ -24,21 +24,21 @@
     if (header == null) {
       return NONE;
     }
-    int at = header.indexOf(STATE);
-    if (at < 0) {
+    int stateIndex = header.indexOf(STATE);
+    if (stateIndex < 0) {
       return NONE;
     }
-    int from = at + STATE.length();
+    int from = stateIndex + STATE.length();
     int to = header.indexOf(',', from);
     return new LoadReport(state(header.substring(from, to < 0 ? header.length() : to).strip()));
   }
 
-  private static Reported state(String label) {
+  private static ReportedState state(String label) {
     return switch (label) {
-      case "warm" -> Reported.WARM;
-      case "cold" -> Reported.COLD;
-      case "leaving" -> Reported.LEAVING;
-      default -> Reported.NOTHING;
+      case "warm" -> ReportedState.WARM;
+      case "cold" -> ReportedState.COLD;
+      case "leaving" -> ReportedState.LEAVING;
+      default -> ReportedState.UNSPECIFIED;
     };
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/Outcome.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Outcome.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.host.callers;
 
-/** What a caller is told about the request's execution. Immutable and thread-safe. */
+/** Whether a request may have run, as reported to the caller. Immutable and thread-safe. */
 enum Outcome {
   /** The request certainly did not run. */
   NOT_RUN("not-run"),
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestHeads.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/OutgoingRequests.java
@@ -7,37 +7,38 @@
 import io.undertow.util.Headers;
 import io.undertow.util.Protocols;
 
-/** Builds the heads of requests to upstreams and to other hosts. Stateless. */
-final class RequestHeads {
+/** Creates the requests that are sent to upstreams and to other hosts. Stateless. */
+final class OutgoingRequests {
   private static final String VIA = "1.1 cactusstack";
 
   /**
-   * What changes from attempt to attempt.
+   * The properties that differ between attempts.
    *
-   * @param repeated whether this is not the first attempt, here or further up
-   * @param leftMs how long the caller still waits
+   * @param isRetry whether an earlier attempt was made, by this host or by the sender
+   * @param remainingMs how long the caller still waits
    */
-  record Passage(boolean repeated, long leftMs) {}
+  record AttemptInfo(boolean isRetry, long remainingMs) {}
 
-  private RequestHeads() {}
+  private OutgoingRequests() {}
 
-  static ClientRequest toUpstream(HttpServerExchange x, RequestFacts facts, Passage p) {
-    ClientRequest r = head(x, facts, p);
-    if (facts.forwardedTo().isEmpty()) {
-      addCaller(x, r.getRequestHeaders());
+  static ClientRequest toUpstream(
+      HttpServerExchange x, RequestAttributes attributes, AttemptInfo p) {
+    ClientRequest r = newRequest(x, attributes, p);
+    if (attributes.forwardedTo().isEmpty()) {
+      addForwardedFor(x, r.getRequestHeaders());
     }
     return r;
   }
 
   static ClientRequest toOwner(
       HttpServerExchange x,
-      RequestFacts facts,
-      Passage p,
+      RequestAttributes attributes,
+      AttemptInfo p,
       DataCentre dataCentre,
       String token,
       boolean mayRefuse) {
-    ClientRequest r = head(x, facts, p);
-    addCaller(x, r.getRequestHeaders());
+    ClientRequest r = newRequest(x, attributes, p);
+    addForwardedFor(x, r.getRequestHeaders());
     r.getRequestHeaders().put(CactusHeaders.FORWARDED, token);
     r.getRequestHeaders().put(CactusHeaders.DATA_CENTRE, dataCentre.value());
     if (mayRefuse) {
@@ -46,25 +47,26 @@
     return r;
   }
 
-  private static ClientRequest head(HttpServerExchange x, RequestFacts facts, Passage p) {
+  private static ClientRequest newRequest(
+      HttpServerExchange x, RequestAttributes attributes, AttemptInfo p) {
     var r = new ClientRequest();
     r.setMethod(x.getRequestMethod());
     r.setProtocol(Protocols.HTTP_1_1);
     r.setPath(target(x));
     HeaderMap to = r.getRequestHeaders();
     CactusHeaders.copyEndToEnd(x.getRequestHeaders(), to);
-    // The host answers an expectation itself, when it begins to read the body.
+    // The host itself sends 100 Continue when it begins to read the body.
     to.remove(Headers.EXPECT);
-    boolean chunked = !facts.bodiless() && !to.contains(Headers.CONTENT_LENGTH);
+    boolean chunked = !attributes.bodiless() && !to.contains(Headers.CONTENT_LENGTH);
     if (chunked) {
       to.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
     }
     to.add(Headers.VIA, VIA);
-    if (p.repeated()) {
+    if (p.isRetry()) {
       to.put(CactusHeaders.RETRY, "1");
     }
-    if (facts.deadlineNanos() != RequestFacts.NO_DEADLINE) {
-      to.put(CactusHeaders.DEADLINE, Long.toString(p.leftMs()));
+    if (attributes.deadlineNanos() != RequestAttributes.NO_DEADLINE) {
+      to.put(CactusHeaders.DEADLINE, Long.toString(p.remainingMs()));
     }
     return r;
   }
@@ -75,7 +77,7 @@
     return query.isEmpty() ? uri : uri + "?" + query;
   }
 
-  private static void addCaller(HttpServerExchange x, HeaderMap to) {
+  private static void addForwardedFor(HttpServerExchange x, HeaderMap to) {
     String ip = x.getSourceAddress().getAddress().getHostAddress();
     String before = to.getFirst(CactusHeaders.FORWARDED_FOR);
     to.put(CactusHeaders.FORWARDED_FOR, before == null ? ip : before + ", " + ip);
--- a/host/src/main/java/dev/cactusstack/host/callers/Problems.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ProblemResponses.java
@@ -12,12 +12,12 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Writes answers that the system makes itself, in the form of RFC 9457. Stateless. */
-final class Problems {
-  private Problems() {}
+/** Writes responses that the host generates itself, as problem details (RFC 9457). Stateless. */
+final class ProblemResponses {
+  private ProblemResponses() {}
 
-  /** Describes a request whose last attempt failed. */
-  static Problem ofAttempt(
+  /** Creates the problem of a request whose last attempt failed. */
+  static Problem ofFailedAttempt(
       ServiceName service, AttemptEvent cause, String reason, Outcome outcome) {
     ProblemKind kind =
         switch (cause) {
@@ -50,7 +50,8 @@
     if (p.kind() == ProblemKind.OVERLOADED) {
       x.getResponseHeaders().put(Headers.RETRY_AFTER, 1);
     }
-    // An unread body would have to be drained before the connection could serve another request.
+    // Closes the connection, because an unread body would have to be drained before the next
+    // request.
     if (!x.isRequestComplete()) {
       x.setPersistent(false);
     }
--- /dev/null
+++ b/host/src/main/java/dev/cactusstack/host/callers/RemoteHost.java
@@ -0,0 +1,21 @@
+package dev.cactusstack.host.callers;
+
+import dev.cactusstack.model.Address;
+import dev.cactusstack.model.HostId;
+import java.util.Objects;
+
+/**
+ * A host that owns a route, as seen from another host. Immutable and thread-safe.
+ *
+ * @param host its id
+ * @param callerAddress its address for callers
+ * @param roundTripMs the smoothed round trip to it, in milliseconds
+ */
+public record RemoteHost(HostId host, Address callerAddress, double roundTripMs) {
+
+  /** Checks the components. */
+  public RemoteHost {
+    Objects.requireNonNull(host, "host is null");
+    Objects.requireNonNull(callerAddress, "callers is null");
+  }
+}
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteLimits.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteLimits.java
@@ -1,10 +1,10 @@
 package dev.cactusstack.host.callers;
 
 /**
- * The limits of a route as its owner applies them. Immutable and thread-safe.
+ * The limits that the owner of a route applies. Immutable and thread-safe.
  *
- * @param inFlight most requests in flight over all upstreams
- * @param perUpstream most requests in flight at one upstream
- * @param queueLength most requests waiting
+ * @param inFlight maximum number of requests in flight over all upstreams
+ * @param perUpstream maximum number of requests in flight at one upstream
+ * @param queueLength maximum number of queued requests
  */
 record RouteLimits(int inFlight, int perUpstream, int queueLength) {}
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteOwner.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteOwner.java
@@ -2,13 +2,13 @@
 
 import java.util.Objects;
 
-/** Who schedules the requests of a route. Immutable and thread-safe. */
+/** The host that schedules the requests of a route. Immutable and thread-safe. */
 public sealed interface RouteOwner {
 
   /**
    * This host.
    *
-   * @param scheduler schedules the requests
+   * @param scheduler the scheduler of the route
    */
   record Local(RouteScheduler scheduler) implements RouteOwner {
     /** Checks the scheduler. */
@@ -20,12 +20,12 @@
   /**
    * Another host.
    *
-   * @param hop how to reach it
+   * @param remoteHost how to reach it
    */
-  record Remote(Hop hop) implements RouteOwner {
-    /** Checks the hop. */
+  record Remote(RemoteHost remoteHost) implements RouteOwner {
+    /** Checks the host. */
     public Remote {
-      Objects.requireNonNull(hop, "hop is null");
+      Objects.requireNonNull(remoteHost, "hop is null");
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RoutingView.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RoutingView.java
@@ -10,20 +10,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * All that the data path needs to route a request, as published by the controllers.
+ * The routing snapshot that the controllers publish to the data path.
  *
- * <p>Immutable and thread-safe; the schedulers it names are thread-safe.
+ * <p>Immutable and thread-safe; the schedulers it refers to are thread-safe.
  *
  * @param home this host's data centre
- * @param configured whether the host has any configuration
- * @param services every service of the table; one without a usable route has no targets
- * @param entries the entry hosts that callers may use
+ * @param configured whether the host has a configuration
+ * @param services every service of the table; a service without a usable route has no targets
+ * @param entries the entry hosts that are announced to callers
  */
 public record RoutingView(
     DataCentre home,
     boolean configured,
     Map<ServiceName, ServiceView> services,
-    List<Entry> entries) {
+    List<EntryEndpoint> entries) {
 
   /** Copies the collections. */
   public RoutingView {
@@ -32,7 +32,7 @@
     entries = List.copyOf(entries);
   }
 
-  boolean knows(ServiceName service) {
+  boolean hasService(ServiceName service) {
     return services.containsKey(service);
   }
 
@@ -44,18 +44,18 @@
    * Finds the owner of a route.
    *
    * @param key the route
-   * @return its owner, if the route can serve now
+   * @return its owner, empty when the route cannot serve now
    */
   public Optional<RouteOwner> owner(RouteKey key) {
     ServiceView s = services.get(key.service());
-    ServiceView.Target t = s == null ? null : s.at(key.dataCentre());
+    ServiceView.Target t = s == null ? null : s.targetIn(key.dataCentre());
     return t == null ? Optional.empty() : Optional.of(t.owner());
   }
 
   /**
-   * Tells whether any route can serve now.
+   * Returns whether any route can serve now.
    *
-   * @return true when there is one
+   * @return true when at least one can
    */
   public boolean canServe() {
     return services.values().stream().anyMatch(s -> !s.targets().isEmpty());
--- a/host/src/main/java/dev/cactusstack/host/callers/ServiceFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ServiceFilter.java
@@ -20,34 +20,34 @@
 import java.util.regex.Pattern;
 import org.jspecify.annotations.Nullable;
 
-/** Finds out which service a request is for, and runs it. Thread-safe. */
+/** Determines the service that a request is for and starts its execution. Thread-safe. */
 final class ServiceFilter implements HttpHandler {
-  /** RFC 9110, section 9.2.2. */
+  /** Idempotent methods, RFC 9110, section 9.2.2. */
   private static final Set<HttpString> IDEMPOTENT =
       Set.of(
           Methods.GET, Methods.HEAD, Methods.OPTIONS, Methods.TRACE, Methods.PUT, Methods.DELETE);
 
   private static final Pattern DEADLINE_FORM = Pattern.compile("[0-9]{1,9}");
 
-  private final DataPath path;
+  private final DataPathContext context;
 
-  ServiceFilter(DataPath path) {
-    this.path = path;
+  ServiceFilter(DataPathContext context) {
+    this.context = context;
   }
 
   @Override
   public void handleRequest(HttpServerExchange x) {
-    long arrived = path.ticker().nanos();
+    long arrived = context.ticker().nanos();
     if (x.getRequestMethod().equals(Methods.CONNECT)) {
-      Problems.send(
+      ProblemResponses.send(
           x, Problem.invalid("CONNECT is not served", "use another method"), Outcome.NOT_RUN);
       return;
     }
     service(x)
-        .flatMap(s -> facts(x, s, arrived))
+        .flatMap(s -> attributes(x, s, arrived))
         .fold(
             p -> {
-              Problems.send(x, p, Outcome.NOT_RUN);
+              ProblemResponses.send(x, p, Outcome.NOT_RUN);
               return true;
             },
             f -> {
@@ -65,26 +65,26 @@
     return ServiceName.parse(name)
         .flatMap(
             s -> {
-              RoutingView v = path.view().get();
-              return v.knows(s)
+              RoutingView v = context.view().get();
+              return v.hasService(s)
                   ? Result.success(s)
-                  : Result.failure(EntriesFilter.unknownService(v, s));
+                  : Result.failure(EntryLookupFilter.unknownService(v, s));
             });
   }
 
-  private Result<RequestFacts> facts(HttpServerExchange x, ServiceName s, long arrived) {
+  private Result<RequestAttributes> attributes(HttpServerExchange x, ServiceName s, long arrived) {
     String token = x.getRequestHeaders().getFirst(CactusHeaders.FORWARDED);
-    if (token == null || !path.token().verify(token)) {
-      path.arrivals().count(s);
-      return Result.success(facts(x, s, arrived, Optional.empty()));
+    if (token == null || !context.token().verify(token)) {
+      context.arrivals().recordArrival(s);
+      return Result.success(attributes(x, s, arrived, Optional.empty()));
     }
-    return ownedDataCentre(x, s).map(d -> facts(x, s, arrived, Optional.of(d)));
+    return ownedDataCentre(x, s).map(d -> attributes(x, s, arrived, Optional.of(d)));
   }
 
-  private static RequestFacts facts(
+  private static RequestAttributes attributes(
       HttpServerExchange x, ServiceName s, long arrived, Optional<DataCentre> forwardedTo) {
     HeaderMap h = x.getRequestHeaders();
-    return new RequestFacts(
+    return new RequestAttributes(
         s,
         IDEMPOTENT.contains(x.getRequestMethod()),
         x.isRequestComplete(),
@@ -95,32 +95,33 @@
         deadline(h.getFirst(CactusHeaders.DEADLINE), arrived));
   }
 
-  /** A deadline that cannot be read counts as none. */
+  /** Parses a deadline; an invalid one is ignored. */
   private static long deadline(@Nullable String ms, long arrived) {
     if (ms == null || !DEADLINE_FORM.matcher(ms).matches()) {
-      return RequestFacts.NO_DEADLINE;
+      return RequestAttributes.NO_DEADLINE;
     }
     return arrived + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(ms));
   }
 
-  /** A request that was passed on is accepted only by the owner of its route. */
+  /** Accepts a forwarded request only when this host owns its route. */
   private Result<DataCentre> ownedDataCentre(HttpServerExchange x, ServiceName s) {
     String name = x.getRequestHeaders().getFirst(CactusHeaders.DATA_CENTRE);
     return DataCentre.parse(name == null ? "" : name)
         .flatMap(
             d -> {
-              var owner = path.view().get().owner(new RouteKey(s, d));
+              var owner = context.view().get().owner(new RouteKey(s, d));
               return owner.orElse(null) instanceof RouteOwner.Local
                   ? Result.success(d)
                   : Result.failure(
                       new Problem(
                           ProblemKind.MISDIRECTED,
                           "this host does not own " + s + "/" + d,
-                          "wait until the members agree; the sender repeats the request"));
+                          "the sender retries the request; wait until the hosts agree on the members"));
             });
   }
 
-  private void run(HttpServerExchange x, RequestFacts facts) {
-    x.dispatch(SameThreadExecutor.INSTANCE, () -> new RequestRun(x, facts, path).start());
+  private void run(HttpServerExchange x, RequestAttributes attributes) {
+    x.dispatch(
+        SameThreadExecutor.INSTANCE, () -> new RequestExecution(x, attributes, context).start());
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/ServiceView.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ServiceView.java
@@ -10,7 +10,7 @@
 /**
  * The usable routes of one service. Immutable and thread-safe.
  *
- * @param split the shares of the data centres
+ * @param split the traffic shares of the data centres
  * @param targets the routes that can serve now
  */
 public record ServiceView(TrafficSplit split, List<Target> targets) {
@@ -21,7 +21,7 @@
     targets = List.copyOf(targets);
   }
 
-  @Nullable Target at(DataCentre d) {
+  @Nullable Target targetIn(DataCentre d) {
     for (Target t : targets) {
       if (t.key().dataCentre().equals(d)) {
         return t;
@@ -34,8 +34,8 @@
    * A route that can serve now.
    *
    * @param key the route
-   * @param weight the operators' weight, above 0
-   * @param owner who schedules its requests
+   * @param weight the weight set by operators, above 0
+   * @param owner the host that schedules its requests
    */
   public record Target(RouteKey key, int weight, RouteOwner owner) {
     /** Checks the components. */
--- a/host/src/main/java/dev/cactusstack/host/callers/TimerWheel.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/TimerWheel.java
@@ -8,10 +8,10 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Coarse timers of one I/O thread: a hashed timing wheel (Varghese and Lauck, 1987), in which a
- * timer costs two list operations and no lock. A timer runs up to two ticks late.
+ * Low-resolution timers of one I/O thread: a hashed timing wheel (Varghese and Lauck, 1987), in
+ * which a timer costs two list operations and no lock. A timer fires up to two ticks late.
  *
- * <p>Invariant: the wheel turns only while it holds timers. Confined to its thread.
+ * <p>Invariant: the wheel advances only while it holds timers. Confined to its thread.
  */
 final class TimerWheel {
   static final long TICK_MS = 2;
@@ -21,7 +21,7 @@
   private final Timer[] buckets = new Timer[BUCKETS];
   private int position;
   private int count;
-  private boolean turning;
+  private boolean advancing;
 
   /**
    * A scheduled task; also the head of a bucket's circular list. Confined to the wheel's thread.
@@ -29,11 +29,11 @@
   static final class Timer {
     private @Nullable Runnable task;
     private @Nullable TimerWheel wheel;
-    private Timer before = this;
-    private Timer after = this;
+    private Timer previous = this;
+    private Timer next = this;
     private long rounds;
 
-    /** Takes the timer out, unless it has run. */
+    /** Removes the timer, unless it has fired. */
     void cancel() {
       TimerWheel w = wheel;
       if (w != null) {
@@ -45,10 +45,10 @@
     }
 
     private void unlink() {
-      before.after = after;
-      after.before = before;
-      before = this;
-      after = this;
+      previous.next = next;
+      next.previous = previous;
+      previous = this;
+      next = this;
     }
   }
 
@@ -66,50 +66,53 @@
     t.wheel = this;
     t.rounds = (ticks - 1) / BUCKETS;
     Timer head = buckets[(int) ((position + ticks) % BUCKETS)];
-    t.before = head.before;
-    t.after = head;
-    head.before.after = t;
-    head.before = t;
+    t.previous = head.previous;
+    t.next = head;
+    head.previous.next = t;
+    head.previous = t;
     count++;
-    if (!turning) {
-      turning = true;
-      turnLater();
+    if (!advancing) {
+      advancing = true;
+      scheduleAdvance();
     }
     return t;
   }
 
-  private void turnLater() {
+  private void scheduleAdvance() {
     try {
-      thread.executeAfter(this::turn, TICK_MS, TimeUnit.MILLISECONDS);
+      thread.executeAfter(this::advance, TICK_MS, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
-      // The thread is shutting down, and closes every connection that a timer guards.
-      turning = false;
+      // The thread is shutting down, and closes every connection that has a timer.
+      advancing = false;
     }
   }
 
-  private void turn() {
+  private void advance() {
     position = (position + 1) % BUCKETS;
-    due(buckets[position]).forEach(TimerWheel::fire);
-    turning = count > 0;
-    if (turning) {
-      turnLater();
+    expired(buckets[position]).forEach(TimerWheel::fire);
+    advancing = count > 0;
+    if (advancing) {
+      scheduleAdvance();
     }
   }
 
-  /** Takes no timer out yet: a task that runs may cancel those after it. */
-  private static List<Timer> due(Timer head) {
-    List<Timer> due = List.of();
-    for (Timer t = head.after; t != head; t = t.after) {
+  /**
+   * Collects the expired timers without removing them, because a task that runs may cancel those
+   * after it.
+   */
+  private static List<Timer> expired(Timer head) {
+    List<Timer> expired = List.of();
+    for (Timer t = head.next; t != head; t = t.next) {
       if (t.rounds > 0) {
         t.rounds--;
         continue;
       }
-      if (due.isEmpty()) {
-        due = new ArrayList<>();
+      if (expired.isEmpty()) {
+        expired = new ArrayList<>();
       }
-      due.add(t);
+      expired.add(t);
     }
-    return due;
+    return expired;
   }
 
   private static void fire(Timer t) {
--- a/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
@@ -12,32 +12,32 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * What the owner of a route knows of one upstream.
+ * The state of one upstream as the owner of its route observes it.
  *
- * <p>Invariant: leases granted and not released never exceed the limit given to {@link #tryLease}.
+ * <p>Invariant: the number of leases held never exceeds the limit passed to {@link #tryLease}.
  * Thread-safe without locks.
  */
 public final class Upstream {
-  private static final long KNOWLEDGE_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long STATE_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final Address address;
   private final AtomicInteger inFlight = new AtomicInteger();
   private final ConcurrentLinkedDeque<Lease> leases = new ConcurrentLinkedDeque<>();
-  private volatile long lastEndNanos;
+  private volatile long lastReleaseNanos;
   private final AtomicReference<UpstreamHealth> health =
       new AtomicReference<>(UpstreamHealth.INITIAL);
 
   /**
-   * Creates an upstream that has proved nothing yet.
+   * Creates an upstream without any observations.
    *
-   * @param address where it serves
+   * @param address the address at which it serves requests
    */
   public Upstream(Address address) {
     this.address = Objects.requireNonNull(address, "address is null");
   }
 
   /**
-   * Returns where it serves.
+   * Returns the address at which it serves requests.
    *
    * @return the address
    */
@@ -46,16 +46,16 @@
   }
 
   /**
-   * Returns what is believed of it.
+   * Returns the health derived from the observations.
    *
-   * @return the present belief
+   * @return the current health
    */
   public UpstreamHealth health() {
     return Objects.requireNonNull(health.get());
   }
 
   /**
-   * Returns how many requests this host has in flight there.
+   * Returns how many requests this host has in flight at the upstream.
    *
    * @return the count
    */
@@ -64,44 +64,43 @@
   }
 
   /**
-   * Takes one observation into account.
+   * Updates the health with one observation.
    *
-   * @param e the observation
+   * @param observation the observation
    * @param nowMs when it was made
    */
-  public void observe(Observation e, long nowMs) {
-    health.updateAndGet(h -> Objects.requireNonNull(h).observe(e, nowMs));
+  public void observe(Observation observation, long nowMs) {
+    health.updateAndGet(h -> Objects.requireNonNull(h).observe(observation, nowMs));
   }
 
   /**
-   * Forgets what is believed of an upstream that has had no request for long: it may have turned
-   * cold meanwhile.
+   * Expires the state of an upstream that has been idle for long, because it may have become cold.
    *
-   * @param nowNanos the present time
+   * @param nowNanos the current time
    */
-  public void expireKnowledge(long nowNanos) {
-    boolean quiet = inFlight.get() == 0 && nowNanos - lastEndNanos > KNOWLEDGE_NANOS;
-    if (quiet && health().state() == UpstreamState.WARM) {
+  public void expireState(long nowNanos) {
+    boolean idle = inFlight.get() == 0 && nowNanos - lastReleaseNanos > STATE_EXPIRY_NANOS;
+    if (idle && health().state() == UpstreamState.WARM) {
       observe(new Observation.StateExpired(), TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
   }
 
-  UpstreamSnapshot view(int operatorLimit, long nowNanos) {
+  UpstreamSnapshot snapshot(int operatorLimit, long nowNanos) {
     UpstreamHealth h = health();
     long nowMs = TimeUnit.NANOSECONDS.toMillis(nowNanos);
     return new UpstreamSnapshot(
         inFlight.get(),
         h.effectiveLimit(operatorLimit, nowMs),
         h.latencyMs(),
-        oldestMs(nowNanos),
-        inFlight.get() > 0 ? 0 : Math.max(0, (nowNanos - lastEndNanos) / 1e6),
+        oldestRequestAgeMs(nowNanos),
+        inFlight.get() > 0 ? 0 : Math.max(0, (nowNanos - lastReleaseNanos) / 1e6),
         h.failureRate());
   }
 
-  private double oldestMs(long nowNanos) {
+  private double oldestRequestAgeMs(long nowNanos) {
     for (Lease l = leases.peekFirst(); l != null; l = leases.peekFirst()) {
       if (!l.isReleased()) {
-        return Math.max(0, (nowNanos - l.startNanos()) / 1e6);
+        return Math.max(0, (nowNanos - l.grantedAtNanos()) / 1e6);
       }
       leases.remove(l);
     }
@@ -120,11 +119,11 @@
     return lease;
   }
 
-  void released(Lease lease, long nowNanos) {
-    lastEndNanos = nowNanos;
+  void onRelease(Lease lease, long nowNanos) {
+    lastReleaseNanos = nowNanos;
     inFlight.decrementAndGet();
-    // The common case is that the oldest ends first; others are removed when they become the
-    // oldest.
+    // Usually the oldest lease is released first; other released leases are removed when they
+    // become the oldest.
     if (leases.peekFirst() == lease) {
       leases.remove(lease);
     }
--- a/host/src/main/java/dev/cactusstack/host/control/ArrivalRateController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ArrivalRateController.java
@@ -43,7 +43,7 @@
       return;
     }
     lastMs = now;
-    Map<ServiceName, Long> counts = arrivals.take();
+    Map<ServiceName, Long> counts = arrivals.takeCounts();
     counts.forEach((s, n) -> smooth(s, n * 1e3 / elapsed));
     perSecond.values().removeIf(r -> r < NEGLIGIBLE);
     var rates = new ArrayList<ServiceRate>();
--- a/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
+++ b/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
@@ -6,8 +6,8 @@
 import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.decisions.routing.TrafficSplit;
 import dev.cactusstack.decisions.state.UpstreamState;
-import dev.cactusstack.host.callers.Entry;
-import dev.cactusstack.host.callers.Hop;
+import dev.cactusstack.host.callers.EntryEndpoint;
+import dev.cactusstack.host.callers.RemoteHost;
 import dev.cactusstack.host.callers.RouteOwner;
 import dev.cactusstack.host.callers.RouteScheduler;
 import dev.cactusstack.host.callers.RoutingView;
@@ -99,7 +99,7 @@
     return m.id().equals(self.id())
         ? new RouteOwner.Local(scheduler)
         : new RouteOwner.Remote(
-            new Hop(m.id(), m.info().callers(), roundTripMs.applyAsDouble(m.id())));
+            new RemoteHost(m.id(), m.info().callers(), roundTripMs.applyAsDouble(m.id())));
   }
 
   private TrafficSplit split(List<Target> targets, Map<DataCentre, Double> arrivals) {
@@ -124,9 +124,11 @@
   }
 
   /** Suspected hosts are left out, unless nobody else is left. */
-  private List<Entry> entries() {
+  private List<EntryEndpoint> entries() {
     List<Member> alive = serving.stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
     List<Member> shown = !alive.isEmpty() ? alive : !serving.isEmpty() ? serving : List.of(self);
-    return shown.stream().map(m -> new Entry(m.info().callers(), m.info().dataCentre())).toList();
+    return shown.stream()
+        .map(m -> new EntryEndpoint(m.info().callers(), m.info().dataCentre()))
+        .toList();
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -116,11 +116,11 @@
     }
     if (now >= nextExpiryMs) {
       nextExpiryMs = now + EXPIRY_INTERVAL_MS;
-      upstreams.values().forEach(u -> u.expireKnowledge(ticker.nanos()));
+      upstreams.values().forEach(u -> u.expireState(ticker.nanos()));
     }
     rebuildIfDue(now);
     // A pause after failures ends with time, not with an event.
-    schedulers.values().forEach(RouteScheduler::drain);
+    schedulers.values().forEach(RouteScheduler::grantQueued);
   }
 
   private void read(long now) {
@@ -221,7 +221,7 @@
           boolean was = RoutingPlan.isLocal(before.owner(key));
           boolean is = RoutingPlan.isLocal(after.owner(key));
           if (was && !is) {
-            s.refuseAll(movedAway(key));
+            s.rejectAll(movedAway(key));
           } else if (!was && is) {
             // Another host, or nobody, has used the upstreams since this one last did.
             s.upstreams().forEach(u -> u.observe(new Observation.StateExpired(), ticker.millis()));
