--- a/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
+++ b/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
@@ -9,14 +9,16 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Predicate;
 
-/** Sends messages while the budget for control traffic allows; drops the others. Thread-safe. */
+/**
+ * Sends messages within the budget for control traffic; drops messages that exceed it. Thread-safe.
+ */
 final class BudgetedSender implements LinkSender {
   private final LinkTransport transport;
   private final TokenBucket budget;
   private final Ticker ticker;
 
   private final Predicate<Address> crossesDataCentres;
-  private final LongAdder crossBytes = new LongAdder();
+  private final LongAdder bytesToOtherDataCentres = new LongAdder();
 
   BudgetedSender(
       LinkTransport transport,
@@ -29,16 +31,16 @@
     this.ticker = ticker;
   }
 
-  /** Bytes sent to hosts of other data centres since the start. */
-  long crossBytes() {
-    return crossBytes.sum();
+  /** Returns the bytes sent to hosts of other data centres since the start. */
+  long bytesToOtherDataCentres() {
+    return bytesToOtherDataCentres.sum();
   }
 
   @Override
   public void send(Address to, LinkMessage m) {
     int sent = transport.send(to, m, bytes -> budget.tryAcquire(bytes, ticker.millis()));
     if (crossesDataCentres.test(to)) {
-      crossBytes.add(sent);
+      bytesToOtherDataCentres.add(sent);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -42,15 +42,15 @@
 import org.xnio.XnioWorker;
 
 /**
- * One entry host: all its parts, started and stopped together.
+ * An entry host: all its components, started and stopped together.
  *
- * <p>Invariant: a host that stops leaves the answers to look-ups first, and closes its ports last.
- * Thread-safe.
+ * <p>Invariant: during a graceful shutdown a host is first removed from look-up responses and
+ * closes its ports last. Thread-safe.
  */
 public final class EntryHost implements AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int LINK_BURST_SECONDS = 10;
-  private static final long POLL_MS = 20;
+  private static final int LINK_BUDGET_BURST_SECONDS = 10;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private final HostSettings settings;
   private final Ticker ticker;
@@ -59,7 +59,7 @@
   private final LinkTransport transport;
   private final TokenBucket budget;
   private final BudgetedSender sender;
-  private volatile @Nullable Controllers running;
+  private volatile @Nullable Controllers startedControllers;
   private final Controllers controllers;
   private final CallersServer callers;
   private final OperatorsServer operators;
@@ -78,15 +78,15 @@
     var platform = new HttpPlatform(caller, settings.platform().address(), timeout);
     var claims = new HttpClaims(caller, settings.platform().address(), timeout);
     KeyRing keys = keyRing(settings);
-    var receiver = new LateReceiver();
+    var receiver = new DeferredReceiver();
     transport = LinkTransport.open(new LinkCodec(keys), settings.link().address(), receiver);
     Member self = self(settings, clock.millis());
     budget =
         new TokenBucket(
             settings.link().bytesPerSecond(),
-            (double) settings.link().bytesPerSecond() * LINK_BURST_SECONDS,
+            (double) settings.link().bytesPerSecond() * LINK_BUDGET_BURST_SECONDS,
             ticker.millis());
-    sender = new BudgetedSender(transport, budget, ticker, this::isElsewhere);
+    sender = new BudgetedSender(transport, budget, ticker, this::isInOtherDataCentre);
     var members = new MembershipController(self, sender, ticker, new Random(clock.millis()));
     var configuration =
         new ConfigurationController(
@@ -105,12 +105,12 @@
             ticker);
     var rates = new ArrivalRateController(callers.arrivals(), members, ticker);
     controllers = new Controllers(loop, members, configuration, upstreams, rates);
-    running = controllers;
-    receiver.open(controllers);
+    startedControllers = controllers;
+    receiver.setControllers(controllers);
     operators =
         new OperatorsServer(
             settings.operators(),
-            settings.operators().tls().map(TlsKeys::load),
+            settings.operators().tls().map(TlsContexts::load),
             new OperatorsView(settings.id(), configuration, members, upstreams, ticker),
             new EditService(platform, configuration),
             metrics);
@@ -120,16 +120,15 @@
   private void addGauges(Metrics metrics) {
     metrics.gauge(
         "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentBytes());
-    metrics.gauge(
-        "cactusstack.link.rejected", "Datagrams not accepted", transport, t -> t.rejected());
+    metrics.gauge("cactusstack.link.rejected", "Datagrams rejected", transport, t -> t.rejected());
     metrics.gauge(
         "cactusstack.link.over.budget",
-        "Datagrams not sent because the budget was spent",
+        "Datagrams dropped because the budget was exhausted",
         budget,
         b -> b.rejectedCount());
     metrics.gauge(
         "cactusstack.configuration.version",
-        "Table version in force",
+        "Version of the configuration table in force",
         controllers.configuration(),
         c -> c.inForce().version());
   }
@@ -156,10 +155,10 @@
    * Starts a host.
    *
    * @param settings its settings
-   * @param ticker a steady clock
+   * @param ticker the monotonic clock
    * @param clock wall time
-   * @param policy chooses among the upstreams of a route
-   * @return the running host, which may not have any configuration yet
+   * @param policy selects an upstream of a route
+   * @return the running host, which may not have a configuration yet
    */
   public static EntryHost start(
       HostSettings settings, Ticker ticker, InstantSource clock, LoadBalancingPolicy policy) {
@@ -198,7 +197,7 @@
   }
 
   /**
-   * Returns the state of the host's controllers.
+   * Returns the host's controllers.
    *
    * @return the controllers
    */
@@ -221,11 +220,11 @@
    * @return the count
    */
   public long crossDataCentreBytesSent() {
-    return sender.crossBytes();
+    return sender.bytesToOtherDataCentres();
   }
 
   /**
-   * Returns how many messages to other hosts were not sent because the budget was spent.
+   * Returns how many messages to other hosts were dropped because the budget was exhausted.
    *
    * @return the count
    */
@@ -233,8 +232,8 @@
     return budget.rejectedCount();
   }
 
-  private boolean isElsewhere(Address link) {
-    Controllers c = running;
+  private boolean isInOtherDataCentre(Address link) {
+    Controllers c = startedControllers;
     return c != null
         && c.members().members().values().stream()
             .anyMatch(
@@ -244,28 +243,28 @@
   }
 
   /**
-   * Waits until the host has configuration and an owner for some route.
+   * Waits until the host has a configuration and can serve at least one route.
    *
-   * @param timeoutMs the longest wait
-   * @return false when it has none by then
+   * @param timeoutMs the maximum wait in milliseconds
+   * @return false if the timeout passed first
    * @throws InterruptedException when the waiting thread is interrupted
    */
   public boolean awaitReady(long timeoutMs) throws InterruptedException {
-    long end = ticker.millis() + timeoutMs;
+    long deadlineMs = ticker.millis() + timeoutMs;
     while (!controllers.upstreams().view().canServe()) {
-      if (ticker.millis() >= end) {
+      if (ticker.millis() >= deadlineMs) {
         return false;
       }
-      TimeUnit.MILLISECONDS.sleep(POLL_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
     return true;
   }
 
   /**
-   * Leaves in good order: first the answers to look-ups, then, when callers' answers have expired
-   * and no request is in flight, the ports.
+   * Shuts down gracefully: the host is removed from look-up responses, waits until the responses
+   * that callers hold have expired and no request is in flight, and then closes its ports.
    *
-   * @return the number of requests cut off because the drain timeout passed
+   * @return the number of requests aborted because the drain timeout passed
    * @throws InterruptedException when the waiting thread is interrupted
    */
   public int shutDownGracefully() throws InterruptedException {
@@ -275,14 +274,15 @@
     controllers.announceLeaving();
     callers.beginDrain();
     TimeUnit.MILLISECONDS.sleep(settings.callers().entriesTtlMs());
-    long end = ticker.millis() + settings.requests().drainTimeoutMs();
-    while (callers.inFlight() > 0 && ticker.millis() < end) {
-      TimeUnit.MILLISECONDS.sleep(POLL_MS);
+    long deadlineMs = ticker.millis() + settings.requests().drainTimeoutMs();
+    while (callers.inFlight() > 0 && ticker.millis() < deadlineMs) {
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
-    int cutOff = callers.inFlight();
+    int abortedRequests = callers.inFlight();
     close();
-    LOG.atInfo().log("%s", Event.named("left").with("host", settings.id()).with("cut_off", cutOff));
-    return cutOff;
+    LOG.atInfo().log(
+        "%s", Event.named("left").with("host", settings.id()).with("cut_off", abortedRequests));
+    return abortedRequests;
   }
 
   /**
@@ -294,7 +294,7 @@
     return callers.inFlight();
   }
 
-  /** Stops at once, as in a crash: requests in flight are cut off. */
+  /** Stops immediately, as in a crash: requests in flight are aborted. */
   @Override
   public void close() {
     if (closed) {
--- a/host/src/main/java/dev/cactusstack/host/HostMain.java
+++ b/host/src/main/java/dev/cactusstack/host/HostMain.java
@@ -16,18 +16,21 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 
-/** The command line of {@code bin/cactusstack} for an entry host with settings. */
+/**
+ * The command line of {@code bin/cactusstack} for an entry host that is started from a settings
+ * file.
+ */
 public final class HostMain {
   /** Exit code for invalid arguments or settings. */
   public static final int EXIT_INVALID = 2;
 
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final long READY_LOG_MS = 10_000;
+  private static final long READY_LOG_INTERVAL_MS = 10_000;
 
   private HostMain() {}
 
   /**
-   * Creates the parser of all options of {@code bin/cactusstack}.
+   * Creates the parser for all options of {@code bin/cactusstack}.
    *
    * @return the parser
    */
@@ -121,20 +124,20 @@
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     ShutdownSignals.install(java.util.List.of(host));
     try {
-      while (!host.awaitReady(READY_LOG_MS)) {
+      while (!host.awaitReady(READY_LOG_INTERVAL_MS)) {
         LOG.atWarning().log(
             "%s",
             Event.named("waiting_for_configuration")
                 .with("remedy", "check that the platform or another host can be reached"));
       }
-      System.out.println(ready(host));
+      System.out.println(readyEvent(host));
       Thread.currentThread().join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static Event ready(EntryHost host) {
+  private static Event readyEvent(EntryHost host) {
     return Event.named("ready")
         .with("callers", host.callerAddress())
         .with("operators", host.operatorAddress())
--- a/host/src/main/java/dev/cactusstack/host/TlsKeys.java
+++ b/host/src/main/java/dev/cactusstack/host/TlsContexts.java
@@ -10,9 +10,9 @@
 import javax.net.ssl.KeyManagerFactory;
 import javax.net.ssl.SSLContext;
 
-/** Loads TLS keys. Stateless. */
-final class TlsKeys {
-  private TlsKeys() {}
+/** Creates TLS contexts from keystores. Stateless. */
+final class TlsContexts {
+  private TlsContexts() {}
 
   static SSLContext load(OperatorsSettings.TlsKey key) {
     char[] password = key.password().toCharArray();
--- a/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
@@ -56,9 +56,9 @@
      * The head of the response has arrived; the body is forwarded unless the attempt is detached.
      *
      * @param response the head
-     * @param waitedNanos from sending the request to now
+     * @param elapsedNanos from sending the request to now
      */
-    void responseStarted(ClientResponse response, long waitedNanos);
+    void responseStarted(ClientResponse response, long elapsedNanos);
 
     /** The response reports that the request did not run; a call of {@code failed} follows. */
     default void refused(ClientResponse response) {}
--- a/host/src/main/java/dev/cactusstack/host/callers/HedgedRequest.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/HedgedRequest.java
@@ -44,7 +44,7 @@
   /** Receives the result. Called on the exchange's I/O thread. */
   interface ResultListener {
     /** The head of the first response has arrived; its body is forwarded to the caller. */
-    void responseStarted(ClientResponse response, long waitedNanos);
+    void responseStarted(ClientResponse response, long elapsedNanos);
 
     /** All attempts have failed. */
     void failed(Address upstream, AttemptState state, AttemptEvent cause, String reason);
@@ -73,7 +73,7 @@
   }
 
   private void startAttempt(Lease lease) {
-    context.metrics().of(attributes.service()).attempted();
+    context.metrics().forService(attributes.service()).recordAttempt();
     var hedged = new HedgedAttempt(lease);
     runningAttempts.add(hedged);
     hedged.attempt.start(attributes.idempotent() ? Freshness.ANY : Freshness.RECENTLY_USED);
@@ -137,8 +137,8 @@
     }
 
     @Override
-    public void responseStarted(ClientResponse response, long waitedNanos) {
-      recordResponse(response, waitedNanos / 1e6);
+    public void responseStarted(ClientResponse response, long elapsedNanos) {
+      recordResponse(response, elapsedNanos / 1e6);
       if (winner != null) {
         return;
       }
@@ -149,7 +149,7 @@
           r.attempt.detach();
         }
       }
-      resultListener.responseStarted(response, waitedNanos);
+      resultListener.responseStarted(response, elapsedNanos);
     }
 
     private void recordResponse(ClientResponse response, double ms) {
--- a/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
@@ -64,7 +64,7 @@
   CompletableFuture<Admission> admit(HttpServerExchange x, RequestAttributes attributes) {
     if (!claimRateLimiter.tryAcquire(1, ticker.millis())) {
       return CompletableFuture.completedFuture(
-          refused(
+          rejected(
               ProblemKind.OVERLOADED,
               "the rate of requests with an Idempotency-Key exceeds claims_per_second",
               "repeat the request after a pause",
@@ -86,20 +86,20 @@
       return new Admission(heldClaim, null, Outcome.UNKNOWN);
     }
     if (o instanceof ClaimOutcome.AlreadyAnswered a) {
-      return refused(
+      return rejected(
           ProblemKind.CONFLICT,
           "this request was already answered, with status " + a.status(),
           "look up its effect; it is not run again",
           Outcome.UNKNOWN);
     }
     if (o instanceof ClaimOutcome.OtherRequest) {
-      return refused(
+      return rejected(
           ProblemKind.INVALID_INPUT,
           "this Idempotency-Key was used for another request",
           "use a new key for each request",
           Outcome.NOT_RUN);
     }
-    return refused(
+    return rejected(
         ProblemKind.CONFLICT,
         "the same request is in progress, or its outcome is not known",
         "retry it later with the same key, or look up its effect; it is not run again",
@@ -108,14 +108,14 @@
 
   /** The request was not sent yet, so it certainly did not run. */
   private static Admission unavailable() {
-    return refused(
+    return rejected(
         ProblemKind.PLATFORM_UNAVAILABLE,
         "the platform's table cannot record the Idempotency-Key now",
         "repeat the request later with the same key",
         Outcome.NOT_RUN);
   }
 
-  private static Admission refused(
+  private static Admission rejected(
       ProblemKind kind, String message, String remedy, Outcome outcome) {
     return new Admission(null, new Problem(kind, message, remedy), outcome);
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/QueuedLeaseRequest.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/QueuedLeaseRequest.java
@@ -24,12 +24,12 @@
   QueuedLeaseRequest(
       XnioIoThread thread,
       Set<Address> avoided,
-      Consumer<Lease> granted,
-      Consumer<Problem> refused) {
+      Consumer<Lease> onGranted,
+      Consumer<Problem> onRejected) {
     this.thread = thread;
     this.avoided = Set.copyOf(avoided);
-    this.onGranted = granted;
-    this.onRejected = refused;
+    this.onGranted = onGranted;
+    this.onRejected = onRejected;
   }
 
   /** Joins a scheduler's queue until a timeout. Called on the request's I/O thread. */
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestExecution.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestExecution.java
@@ -54,7 +54,7 @@
     this.exchange = exchange;
     this.attributes = attributes;
     this.context = context;
-    this.metrics = context.metrics().of(attributes.service());
+    this.metrics = context.metrics().forService(attributes.service());
     this.destinations =
         new DestinationSelector(
             attributes.service(), context.remoteLoads(), context.random().get());
@@ -110,7 +110,7 @@
       hedgedRequest.callerFinished();
     }
     long total = context.ticker().nanos() - attributes.arrivedAtNanos();
-    metrics.answered(total, total - upstreamWaitNanos);
+    metrics.recordRequest(total, total - upstreamWaitNanos);
   }
 
   // Routing.
@@ -247,9 +247,9 @@
     hedgedRequest.start(lease);
   }
 
-  private void forward(Choice choice, RemoteHost hop) {
+  private void forward(Choice choice, RemoteHost ownerHost) {
     attempts += choice.mayRefuse() ? 0 : 1;
-    metrics.attempted();
+    metrics.recordAttempt();
     ClientRequest r =
         OutgoingRequests.toOwner(
             exchange,
@@ -263,7 +263,7 @@
             exchange,
             context.pools(),
             context.ticker(),
-            hop.callerAddress(),
+            ownerHost.callerAddress(),
             r,
             (int) Math.max(1, remainingMs()),
             new ForwardListener(choice));
@@ -334,7 +334,7 @@
       return;
     }
     releaseClaim(outcome);
-    metrics.refused(p.kind());
+    metrics.recordProblem(p.kind());
     ProblemResponses.send(exchange, p, outcome);
   }
 
@@ -349,8 +349,8 @@
     }
 
     @Override
-    public void responseStarted(ClientResponse response, long waitedNanos) {
-      copyResponseHead(response, waitedNanos);
+    public void responseStarted(ClientResponse response, long elapsedNanos) {
+      copyResponseHead(response, elapsedNanos);
       if (attributes.forwardedTo().isPresent()) {
         exchange
             .getResponseHeaders()
@@ -376,10 +376,10 @@
     }
 
     @Override
-    public void responseStarted(ClientResponse response, long waitedNanos) {
+    public void responseStarted(ClientResponse response, long elapsedNanos) {
       HeaderMap from = response.getResponseHeaders();
       context.remoteLoads().record(choice.target().key(), from.getFirst(CactusHeaders.ROUTE_LOAD));
-      copyResponseHead(response, waitedNanos);
+      copyResponseHead(response, elapsedNanos);
       // The owner removes this header from upstream responses, so a value here was set by the
       // owner.
       String outcome = from.getFirst(CactusHeaders.OUTCOME);
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
@@ -140,7 +140,8 @@
   }
 
   /**
-   * As {@link #tryNow}, for a request that arrived before those in the queue and may overtake them.
+   * As {@link #tryAcquire}, for a request that arrived before those in the queue and may overtake
+   * them.
    */
   @Nullable Lease tryAcquireAheadOfQueue(Set<Address> avoided) {
     List<Upstream> candidates = avoided.isEmpty() ? upstreams : without(upstreams, avoided);
--- a/host/src/main/java/dev/cactusstack/host/control/ArrivalRateController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ArrivalRateController.java
@@ -9,22 +9,25 @@
 import java.util.Objects;
 import java.util.TreeMap;
 
-/** Tells the group how many requests of each service arrive here. Confined to the control loop. */
+/**
+ * Announces the arrival rate of each service at this host to the group. Confined to the control
+ * loop.
+ */
 public final class ArrivalRateController {
   private static final long INTERVAL_MS = 1_000;
   private static final double SMOOTHING = 0.4;
-  private static final double NEGLIGIBLE = 0.5;
+  private static final double NEGLIGIBLE_REQUESTS_PER_SECOND = 0.5;
 
   private final ArrivalCounter arrivals;
   private final MembershipController members;
   private final Ticker ticker;
   private final Map<ServiceName, Double> perSecond = new TreeMap<>();
-  private long lastMs;
+  private long lastUpdateMs;
 
   /**
    * Creates a controller.
    *
-   * @param arrivals counts callers' requests
+   * @param arrivals counts the requests of callers
    * @param members announces the rates
    * @param ticker the clock
    */
@@ -33,25 +36,25 @@
     this.arrivals = Objects.requireNonNull(arrivals, "arrivals is null");
     this.members = Objects.requireNonNull(members, "members is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-    this.lastMs = ticker.millis();
+    this.lastUpdateMs = ticker.millis();
   }
 
   void tick() {
     long now = ticker.millis();
-    long elapsed = now - lastMs;
+    long elapsed = now - lastUpdateMs;
     if (elapsed < INTERVAL_MS) {
       return;
     }
-    lastMs = now;
+    lastUpdateMs = now;
     Map<ServiceName, Long> counts = arrivals.takeCounts();
-    counts.forEach((s, n) -> smooth(s, n * 1e3 / elapsed));
-    perSecond.values().removeIf(r -> r < NEGLIGIBLE);
+    counts.forEach((s, n) -> updateRate(s, n * 1e3 / elapsed));
+    perSecond.values().removeIf(r -> r < NEGLIGIBLE_REQUESTS_PER_SECOND);
     var rates = new ArrayList<ServiceRate>();
     perSecond.forEach((s, r) -> rates.add(new ServiceRate(s, r.floatValue())));
     members.announceRates(rates);
   }
 
-  private void smooth(ServiceName s, double rate) {
+  private void updateRate(ServiceName s, double rate) {
     Double before = perSecond.get(s);
     perSecond.put(s, before == null ? rate : before + SMOOTHING * (rate - before));
   }
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -24,21 +24,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps the configuration in force. A few readers in each data centre read the platform's table;
- * every host takes newer rows from the hosts that have them.
+ * Maintains the configuration in force. A few readers in each data centre read the platform's
+ * table; every host fetches newer rows from hosts that have them.
  *
- * <p>Invariant: the version in force never falls, and a row is replaced only by one with a higher
- * version. Confined to the control loop, except {@link #inForce} and {@link #refresh}.
+ * <p>Invariant: the version in force never decreases, and a row is replaced only by one with a
+ * higher version. Confined to the control loop, except {@link #inForce} and {@link #refresh}.
  */
 public final class ConfigurationController {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
   private static final int READERS_PER_DATA_CENTRE = 2;
 
-  /** Every host reads this much less often than a reader, in case the readers are cut off. */
-  private static final int BACKSTOP_FACTOR = 10;
+  /**
+   * Hosts that are not readers read the table less often by this factor, in case the readers cannot
+   * reach it.
+   */
+  private static final int NON_READER_INTERVAL_FACTOR = 10;
 
-  /** Rows with all their operation ids must fit the datagram that a receiver takes. */
-  private static final int ROWS_PER_PAGE = 3;
+  /**
+   * A page must fit the datagram that a receiver accepts, even if each row carries all its
+   * operation ids.
+   */
+  private static final int MAX_ROWS_PER_PAGE = 3;
 
   private static final long PULL_TIMEOUT_MS = 200;
 
@@ -52,21 +58,21 @@
   private volatile ConfigurationTable inForce = ConfigurationTable.EMPTY;
   private volatile boolean storeReachable;
   private boolean reading;
-  private long nextReadMs;
+  private long nextReadAtMs;
   private @Nullable Pull pull;
 
-  /** Rows being taken from another host, page by page. */
-  private record Pull(Address from, ChangeCursor after, ConfigurationTable rows, long sentMs) {}
+  /** A transfer of rows from another host, page by page. */
+  private record Pull(Address from, ChangeCursor cursor, ConfigurationTable rows, long sentAtMs) {}
 
   /**
-   * Creates a controller without any configuration.
+   * Creates a controller without a configuration.
    *
    * @param store the platform's table
-   * @param members the group
+   * @param members the membership controller
    * @param sender sends messages to other hosts
    * @param loop the control loop
    * @param ticker the clock
-   * @param readIntervalMs between two reads of the table by a reader
+   * @param readIntervalMs the interval in milliseconds at which a reader reads the table
    */
   public ConfigurationController(
       TableStore store,
@@ -93,40 +99,40 @@
   }
 
   /**
-   * Tells whether the last read of the platform's table succeeded. Thread-safe.
+   * Returns whether the last read of the platform's table succeeded. Thread-safe.
    *
-   * @return true when it did
+   * @return true if it succeeded
    */
   public boolean isStoreReachable() {
     return storeReachable;
   }
 
-  /** Reads the platform's table soon, as after an accepted edit. Thread-safe. */
+  /** Schedules a read of the platform's table, for example after an accepted edit. Thread-safe. */
   public void refresh() {
     loop.execute(
         () -> {
-          nextReadMs = 0;
+          nextReadAtMs = 0;
           tick();
         });
   }
 
   /**
-   * Puts rows into force that this host has just read or committed. Thread-safe.
+   * Applies rows that this host has just read or committed. Thread-safe.
    *
    * @param rows the rows
    */
-  public void learn(ConfigurationTable rows) {
+  public void applyAsync(ConfigurationTable rows) {
     Objects.requireNonNull(rows, "rows is null");
     loop.execute(() -> apply(rows, "operator"));
   }
 
-  void onChange(Consumer<ConfigurationTable> listener) {
+  void addListener(Consumer<ConfigurationTable> listener) {
     listeners.add(listener);
   }
 
   void tick() {
     long now = ticker.millis();
-    if (!reading && now >= nextReadMs) {
+    if (!reading && now >= nextReadAtMs) {
       read(now);
     }
     pullIfBehind(now);
@@ -134,7 +140,8 @@
 
   private void read(long now) {
     reading = true;
-    nextReadMs = now + (isReader() ? readIntervalMs : readIntervalMs * BACKSTOP_FACTOR);
+    nextReadAtMs =
+        now + (isReader() ? readIntervalMs : readIntervalMs * NON_READER_INTERVAL_FACTOR);
     store
         .changesAfter(inForce.version())
         .whenComplete((rows, t) -> loop.execute(() -> finishRead(rows, t)));
@@ -154,12 +161,13 @@
     if (rows != null) {
       apply(rows, "table");
     } else {
-      nextReadMs = Math.min(nextReadMs, ticker.millis() + readIntervalMs);
+      nextReadAtMs = Math.min(nextReadAtMs, ticker.millis() + readIntervalMs);
     }
   }
 
   /**
-   * Without any configuration every host reads; afterwards only the first-ranked of a data centre.
+   * Returns whether this host is a reader. Without a configuration every host is; afterwards only
+   * the highest-ranked hosts of each data centre are.
    */
   private boolean isReader() {
     if (inForce.version() == 0) {
@@ -176,16 +184,18 @@
 
   private void pullIfBehind(long now) {
     Pull p = pull;
-    if (p != null && now - p.sentMs < PULL_TIMEOUT_MS) {
+    if (p != null && now - p.sentAtMs < PULL_TIMEOUT_MS) {
       return;
     }
     pull = null;
-    newerHost()
+    findNewerHost()
         .ifPresent(
-            to -> ask(to, ChangeCursor.afterVersion(inForce.version()), ConfigurationTable.EMPTY));
+            to ->
+                requestPage(
+                    to, ChangeCursor.afterVersion(inForce.version()), ConfigurationTable.EMPTY));
   }
 
-  private Optional<Address> newerHost() {
+  private Optional<Address> findNewerHost() {
     SortedMap<HostId, Member> all = members.members();
     Member self = members.self();
     return all.values().stream()
@@ -198,25 +208,25 @@
         .map(m -> m.info().link());
   }
 
-  private void ask(Address to, ChangeCursor after, ConfigurationTable rows) {
+  private void requestPage(Address to, ChangeCursor after, ConfigurationTable rows) {
     pull = new Pull(to, after, rows, ticker.millis());
     sender.send(to, new LinkMessage(members.self(), List.of(), new LinkBody.ChangesQuery(after)));
   }
 
-  void answer(Address from, LinkBody.ChangesQuery q) {
-    LinkBody.ChangesPage page = q.after().page(inForce, ROWS_PER_PAGE);
+  void sendPage(Address from, LinkBody.ChangesQuery q) {
+    LinkBody.ChangesPage page = q.after().page(inForce, MAX_ROWS_PER_PAGE);
     sender.send(from, new LinkMessage(members.self(), List.of(), page));
   }
 
-  void receive(Address from, LinkBody.ChangesPage page) {
+  void receivePage(Address from, LinkBody.ChangesPage page) {
     Pull p = pull;
     if (p == null || !p.from.equals(from)) {
       return;
     }
     ConfigurationTable rows = p.rows.merge(page.rows());
     ChangeCursor last = ChangeCursor.lastOf(page.rows());
-    if (page.more() && last.compareTo(p.after) > 0) {
-      ask(from, last, rows);
+    if (page.more() && last.compareTo(p.cursor) > 0) {
+      requestPage(from, last, rows);
     } else if (!page.more()) {
       pull = null;
       apply(rows, "host");
--- a/host/src/main/java/dev/cactusstack/host/control/ControlLoop.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ControlLoop.java
@@ -17,42 +17,43 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs the tasks of all controllers of a host, one at a time, and ticks them.
+ * Event loop that runs the tasks and the periodic ticks of all controllers of a host, one at a
+ * time.
  *
- * <p>Invariant: tasks and ticks run on one thread. {@link #execute} and {@link #offer} are
+ * <p>Invariant: tasks and ticks run on one thread. {@link #execute} and {@link #tryExecute} are
  * thread-safe.
  */
 public final class ControlLoop implements Executor, AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int RING_SIZE = 4_096;
-  private static final long TICK_MS = 50;
+  private static final int RING_BUFFER_SIZE = 4_096;
+  private static final long TICK_INTERVAL_MS = 50;
 
   private final Ticker ticker;
-  private final Disruptor<Slot> disruptor;
-  private final List<Runnable> tickers = new CopyOnWriteArrayList<>();
-  private long nextTickMs;
+  private final Disruptor<TaskEvent> disruptor;
+  private final List<Runnable> tickTasks = new CopyOnWriteArrayList<>();
+  private long nextTickAtMs;
 
-  /** A place of the ring. Written by one producer, then read by the loop. */
-  private static final class Slot {
+  /** An entry of the ring buffer. Written by one producer, then read by the loop. */
+  private static final class TaskEvent {
     private @Nullable Runnable task;
   }
 
   /**
-   * Creates a loop that is not yet running.
+   * Creates a loop that is not yet started.
    *
-   * @param name names the thread
+   * @param name the name of the loop, part of the thread name
    * @param ticker the clock
    */
   public ControlLoop(String name, Ticker ticker) {
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     this.disruptor =
         new Disruptor<>(
-            Slot::new,
-            RING_SIZE,
+            TaskEvent::new,
+            RING_BUFFER_SIZE,
             r -> daemon(r, "control-" + name),
             ProducerType.MULTI,
-            new TimeoutBlockingWaitStrategy(TICK_MS, TimeUnit.MILLISECONDS));
-    disruptor.handleEventsWith(new Handler());
+            new TimeoutBlockingWaitStrategy(TICK_INTERVAL_MS, TimeUnit.MILLISECONDS));
+    disruptor.handleEventsWith(new TaskHandler());
   }
 
   private static Thread daemon(Runnable r, String name) {
@@ -71,36 +72,38 @@
    *
    * @param tick the task
    */
-  public void onTick(Runnable tick) {
-    tickers.add(Objects.requireNonNull(tick, "tick is null"));
+  public void addTickTask(Runnable tick) {
+    tickTasks.add(Objects.requireNonNull(tick, "tick is null"));
   }
 
   @Override
   public void execute(Runnable task) {
     Objects.requireNonNull(task, "task is null");
-    disruptor.publishEvent((slot, sequence) -> slot.task = task);
+    disruptor.publishEvent((taskEvent, sequence) -> taskEvent.task = task);
   }
 
   /**
-   * Runs a task unless the ring is full.
+   * Submits a task unless the ring buffer is full.
    *
    * @param task the task
-   * @return false when it was dropped
+   * @return false if the task was dropped
    */
-  public boolean offer(Runnable task) {
+  public boolean tryExecute(Runnable task) {
     Objects.requireNonNull(task, "task is null");
-    return disruptor.getRingBuffer().tryPublishEvent((slot, sequence) -> slot.task = task);
+    return disruptor
+        .getRingBuffer()
+        .tryPublishEvent((taskEvent, sequence) -> taskEvent.task = task);
   }
 
   /**
    * Computes a value on the loop.
    *
-   * @param s computes it
-   * @param <T> its type
-   * @return the value, later
+   * @param supplier computes it
+   * @param <T> the type of the value
+   * @return a future of the value
    */
-  public <T> CompletableFuture<T> ask(Supplier<T> s) {
-    return CompletableFuture.supplyAsync(s, this);
+  public <T> CompletableFuture<T> compute(Supplier<T> supplier) {
+    return CompletableFuture.supplyAsync(supplier, this);
   }
 
   @Override
@@ -110,11 +113,11 @@
 
   private void tickIfDue() {
     long now = ticker.millis();
-    if (now < nextTickMs) {
+    if (now < nextTickAtMs) {
       return;
     }
-    nextTickMs = now + TICK_MS;
-    tickers.forEach(this::runSafely);
+    nextTickAtMs = now + TICK_INTERVAL_MS;
+    tickTasks.forEach(this::runSafely);
   }
 
   private void runSafely(Runnable task) {
@@ -125,12 +128,12 @@
     }
   }
 
-  /** Receives the ring's events. Runs on the loop's thread. */
-  private final class Handler implements EventHandler<Slot> {
+  /** Handles the events of the ring buffer. Runs on the loop's thread. */
+  private final class TaskHandler implements EventHandler<TaskEvent> {
     @Override
-    public void onEvent(Slot slot, long sequence, boolean endOfBatch) {
-      Runnable task = slot.task;
-      slot.task = null;
+    public void onEvent(TaskEvent taskEvent, long sequence, boolean endOfBatch) {
+      Runnable task = taskEvent.task;
+      taskEvent.task = null;
       if (task != null) {
         runSafely(task);
       }
--- a/host/src/main/java/dev/cactusstack/host/control/Controllers.java
+++ b/host/src/main/java/dev/cactusstack/host/control/Controllers.java
@@ -16,10 +16,10 @@
    * Connects controllers.
    *
    * @param loop runs and ticks them
-   * @param members the group
+   * @param members the members of the group
    * @param configuration the configuration in force
    * @param upstreams the routes and their upstreams
-   * @param rates the arrival rates
+   * @param rates announces the arrival rates
    */
   public Controllers(
       ControlLoop loop,
@@ -31,16 +31,16 @@
     this.members = Objects.requireNonNull(members, "members is null");
     this.configuration = Objects.requireNonNull(configuration, "configuration is null");
     this.upstreams = Objects.requireNonNull(upstreams, "upstreams is null");
-    members.onChange(upstreams::changeMembers);
-    configuration.onChange(upstreams::changeTable);
-    loop.onTick(members::tick);
-    loop.onTick(configuration::tick);
-    loop.onTick(upstreams::tick);
-    loop.onTick(rates::tick);
+    members.addListener(upstreams::onMembersChange);
+    configuration.addListener(upstreams::onTableChange);
+    loop.addTickTask(members::tick);
+    loop.addTickTask(configuration::tick);
+    loop.addTickTask(upstreams::tick);
+    loop.addTickTask(rates::tick);
   }
 
   /**
-   * Returns the group.
+   * Returns the membership controller.
    *
    * @return the controller
    */
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Returns the configuration in force.
+   * Returns the configuration controller.
    *
    * @return the controller
    */
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Returns the routes and their upstreams.
+   * Returns the controller of routes and upstreams.
    *
    * @return the controller
    */
@@ -66,28 +66,29 @@
     return upstreams;
   }
 
-  /** Tells the group that this host is shutting down. */
+  /** Announces to the group that this host is shutting down. */
   public void announceLeaving() {
     loop.execute(members::announceLeaving);
   }
 
   /**
-   * Handles a message of another host. Drops it when the loop is far behind.
+   * Handles a message from another host. The message is dropped when the queue of the control loop
+   * is full.
    *
    * @param from the sender's address
    * @param m the message
    */
   public void receive(Address from, LinkMessage m) {
-    loop.offer(() -> dispatch(from, m));
+    loop.tryExecute(() -> dispatch(from, m));
   }
 
   private void dispatch(Address from, LinkMessage m) {
     if (m.body() instanceof LinkBody.Detection d) {
       members.receive(from, d.probe(), m);
     } else if (m.body() instanceof LinkBody.ChangesQuery q) {
-      configuration.answer(from, q);
+      configuration.sendPage(from, q);
     } else if (m.body() instanceof LinkBody.ChangesPage p) {
-      configuration.receive(from, p);
+      configuration.receivePage(from, p);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -17,16 +17,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Commits operators' changes in the platform's table, and finds out what became of a commit whose
- * answer was lost.
+ * Commits operators' changes to the platform's table, and determines the outcome of a commit whose
+ * response was lost.
  *
- * <p>Invariants: accepted is said only of a change that is committed; not accepted only of one that
- * is not committed and never will be. Thread-safe.
+ * <p>Invariants: a change is reported as accepted only when it is committed, and as not accepted
+ * only when it is not committed and never will be. Thread-safe.
  */
 public final class EditService {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int MAX_TRIES = 5;
-  private static final long RETRY_PAUSE_MS = 100;
+  private static final int MAX_ATTEMPTS = 5;
+  private static final long RETRY_DELAY_MS = 100;
 
   private final TableStore store;
   private final ConfigurationController configuration;
@@ -35,7 +35,7 @@
    * Creates a service.
    *
    * @param store the platform's table
-   * @param configuration puts accepted changes into force on this host
+   * @param configuration applies accepted changes on this host
    */
   public EditService(TableStore store, ConfigurationController configuration) {
     this.store = Objects.requireNonNull(store, "store is null");
@@ -46,11 +46,11 @@
    * Commits a change.
    *
    * @param plan the change
-   * @return what became of it; never fails
+   * @return the outcome; never completes exceptionally
    */
   public CompletableFuture<EditOutcome> commit(ChangePlan plan) {
     Objects.requireNonNull(plan, "plan is null");
-    return new Run(plan)
+    return new EditExecution(plan)
         .readAndCommit(1)
         .exceptionally(t -> new EditOutcome.Unknown(plan.operation(), internal(t)))
         .thenApply(o -> logged(plan, o));
@@ -70,97 +70,105 @@
     return o;
   }
 
-  /** The progress of one change. Its steps run one after the other. */
-  private final class Run {
+  /** The execution of one change. Its steps run sequentially. */
+  private final class EditExecution {
     private final ChangePlan plan;
 
-    /** A commit whose answer was lost, and that may still take effect. */
-    private ChangePlan.Step.@Nullable Commit lost;
+    /** A commit whose response was lost and that may still take effect. */
+    private ChangePlan.Step.@Nullable Commit unconfirmedCommit;
 
-    Run(ChangePlan plan) {
+    EditExecution(ChangePlan plan) {
       this.plan = plan;
     }
 
-    CompletableFuture<EditOutcome> readAndCommit(int tries) {
-      ConfigurationTable known = configuration.inForce();
+    CompletableFuture<EditOutcome> readAndCommit(int attempt) {
+      ConfigurationTable current = configuration.inForce();
       return store
-          .changesAfter(known.version())
+          .changesAfter(current.version())
           .handle(
               (rows, t) ->
-                  t == null ? decide(known.merge(rows), tries) : again(tries, HttpFailure.of(t)))
+                  t == null
+                      ? decide(current.merge(rows), attempt)
+                      : retryLater(attempt, HttpFailure.of(t)))
           .thenCompose(f -> f);
     }
 
-    private CompletableFuture<EditOutcome> decide(ConfigurationTable now, int tries) {
-      configuration.learn(now);
-      ChangePlan.Step.Commit earlier = lost;
-      if (earlier == null) {
-        return start(now, tries);
+    private CompletableFuture<EditOutcome> decide(ConfigurationTable now, int attempt) {
+      configuration.applyAsync(now);
+      ChangePlan.Step.Commit unconfirmed = unconfirmedCommit;
+      if (unconfirmed == null) {
+        return startCommit(now, attempt);
       }
-      return switch (earlier.statusIn(now)) {
+      return switch (unconfirmed.statusIn(now)) {
         case APPLIED ->
             done(new EditOutcome.Accepted(plan.appliedVersion(now).orElse(now.version())));
         case NOT_APPLIED -> {
-          lost = null;
-          yield start(now, tries);
+          unconfirmedCommit = null;
+          yield startCommit(now, attempt);
         }
-        // Only one of two commits that expect the same versions can take effect.
-        case PENDING -> commit(earlier, now, tries);
-        case UNKNOWN -> done(unknown("the row was edited many times since, and no longer tells"));
+        // Committing again is safe: of two commits that expect the same versions, only one can take
+        // effect.
+        case PENDING -> commit(unconfirmed, now, attempt);
+        case UNKNOWN ->
+            done(unknown("the row was edited too often since to determine the outcome"));
       };
     }
 
-    private CompletableFuture<EditOutcome> start(ConfigurationTable now, int tries) {
+    private CompletableFuture<EditOutcome> startCommit(ConfigurationTable now, int attempt) {
       ChangePlan.Step step = plan.nextStep(now);
       return step instanceof ChangePlan.Step.Commit c
-          ? commit(c, now, tries)
+          ? commit(c, now, attempt)
           : done(((ChangePlan.Step.Done) step).outcome());
     }
 
     private CompletableFuture<EditOutcome> commit(
-        ChangePlan.Step.Commit c, ConfigurationTable base, int tries) {
+        ChangePlan.Step.Commit c, ConfigurationTable base, int attempt) {
       return store
           .commit(c.routes(), c.dataCentres())
           .handle(
               (o, t) ->
-                  t == null ? committed(c, base, o, tries) : failed(c, HttpFailure.of(t), tries))
+                  t == null
+                      ? committed(c, base, o, attempt)
+                      : failed(c, HttpFailure.of(t), attempt))
           .thenCompose(f -> f);
     }
 
     private CompletableFuture<EditOutcome> committed(
-        ChangePlan.Step.Commit commit, ConfigurationTable base, CommitOutcome o, int tries) {
+        ChangePlan.Step.Commit commit, ConfigurationTable base, CommitOutcome o, int attempt) {
       if (o instanceof CommitOutcome.Committed c) {
-        // The platform may go down before the next read. The rows are put into force from the
-        // commit
-        // itself, unless another edit came between, whose rows this host has not seen.
+        // Applies the committed rows at once, because the platform may become unavailable before
+        // the next read. Skipped when another edit was committed in between, because this host has
+        // not seen its rows.
         if (c.revision() == base.version() + 1) {
-          configuration.learn(commit.committedAt(c.revision()));
+          configuration.applyAsync(commit.committedAt(c.revision()));
         }
         configuration.refresh();
         return done(new EditOutcome.Accepted(c.revision()));
       }
-      if (o instanceof CommitOutcome.Refused r && lost == null) {
+      if (o instanceof CommitOutcome.Refused r && unconfirmedCommit == null) {
         return done(notAccepted("the table service refused the edit: " + r.reason()));
       }
-      return again(tries, new HttpFailure(lost != null, "another edit was committed meanwhile"));
+      return retryLater(
+          attempt,
+          new HttpFailure(unconfirmedCommit != null, "another edit was committed meanwhile"));
     }
 
     private CompletableFuture<EditOutcome> failed(
-        ChangePlan.Step.Commit c, HttpFailure f, int tries) {
+        ChangePlan.Step.Commit c, HttpFailure f, int attempt) {
       if (f.mayBeProcessed()) {
-        lost = c;
+        unconfirmedCommit = c;
       }
-      return again(tries, f);
+      return retryLater(attempt, f);
     }
 
-    private CompletableFuture<EditOutcome> again(int tries, HttpFailure cause) {
-      if (tries >= MAX_TRIES) {
+    private CompletableFuture<EditOutcome> retryLater(int attempt, HttpFailure cause) {
+      if (attempt >= MAX_ATTEMPTS) {
         String reason = String.valueOf(cause.getMessage());
-        return done(lost != null ? unknown(reason) : notAccepted(reason));
+        return done(unconfirmedCommit != null ? unknown(reason) : notAccepted(reason));
       }
-      Executor later =
-          CompletableFuture.delayedExecutor(RETRY_PAUSE_MS * tries, TimeUnit.MILLISECONDS);
-      return CompletableFuture.supplyAsync(() -> readAndCommit(tries + 1), later)
+      Executor afterDelay =
+          CompletableFuture.delayedExecutor(RETRY_DELAY_MS * attempt, TimeUnit.MILLISECONDS);
+      return CompletableFuture.supplyAsync(() -> readAndCommit(attempt + 1), afterDelay)
           .thenCompose(f -> f);
     }
 
--- a/host/src/main/java/dev/cactusstack/host/control/LinkSender.java
+++ b/host/src/main/java/dev/cactusstack/host/control/LinkSender.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.link.LinkMessage;
 import dev.cactusstack.model.Address;
 
-/** Sends messages to other hosts without waiting. Implementations are thread-safe. */
+/** Sends messages to other hosts without blocking. Implementations are thread-safe. */
 @FunctionalInterface
 public interface LinkSender {
 
--- a/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
@@ -25,12 +25,12 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** Keeps the members of the group. Confined to the control loop, except {@link #members}. */
+/** Maintains the members of the group. Confined to the control loop, except {@link #members}. */
 public final class MembershipController {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int MAX_RATES = 16;
-  private static final double RATE_CHANGE = 0.25;
-  private static final double NOISE_DEVIATIONS = 3;
+  private static final int MAX_ANNOUNCED_RATES = 16;
+  private static final double MIN_RELATIVE_RATE_CHANGE = 0.25;
+  private static final double NOISE_STANDARD_DEVIATIONS = 3;
 
   private final Membership membership;
   private final LinkSender sender;
@@ -39,12 +39,12 @@
   private volatile SortedMap<HostId, Member> published;
 
   /**
-   * Creates a controller that knows only its own host.
+   * Creates a controller whose only member is its own host.
    *
-   * @param self the host's claim about itself
+   * @param self this host as a member
    * @param sender sends messages to other hosts
    * @param ticker the clock
-   * @param random draws the order of probes
+   * @param random determines the order of probes
    */
   public MembershipController(Member self, LinkSender sender, Ticker ticker, Random random) {
     this.membership = new Membership(self, ProbeTimings.DEFAULT, random);
@@ -70,7 +70,7 @@
     return membership.roundTripMs(id);
   }
 
-  void onChange(Consumer<SortedMap<HostId, Member>> listener) {
+  void addListener(Consumer<SortedMap<HostId, Member>> listener) {
     listeners.add(listener);
   }
 
@@ -84,7 +84,7 @@
     publish();
   }
 
-  void list(Collection<Address> links) {
+  void updateListedHosts(Collection<Address> links) {
     membership.updateHostList(links);
   }
 
@@ -96,32 +96,39 @@
     announce(self().info().withLeaving());
   }
 
-  /** Announces the arrival rates when one has changed by a quarter or more. */
+  /**
+   * Announces the arrival rates when one has changed by more than a quarter and more than the
+   * noise.
+   */
   void announceRates(List<ServiceRate> rates) {
-    List<ServiceRate> top =
+    List<ServiceRate> highestRates =
         rates.stream()
             .sorted((a, b) -> Float.compare(b.perSecond(), a.perSecond()))
-            .limit(MAX_RATES)
+            .limit(MAX_ANNOUNCED_RATES)
             .toList();
-    if (differs(self().info().rates(), top)) {
-      announce(self().info().withRates(top));
+    if (haveRatesChanged(self().info().rates(), highestRates)) {
+      announce(self().info().withRates(highestRates));
     }
   }
 
-  private static boolean differs(List<ServiceRate> before, List<ServiceRate> now) {
-    var old = new TreeMap<String, Float>();
-    before.forEach(r -> old.put(r.service().value(), r.perSecond()));
-    return old.size() != now.size()
-        || now.stream().anyMatch(r -> moved(old.get(r.service().value()), r.perSecond()));
+  private static boolean haveRatesChanged(List<ServiceRate> before, List<ServiceRate> now) {
+    var previous = new TreeMap<String, Float>();
+    before.forEach(r -> previous.put(r.service().value(), r.perSecond()));
+    return previous.size() != now.size()
+        || now.stream()
+            .anyMatch(r -> hasRateChanged(previous.get(r.service().value()), r.perSecond()));
   }
 
-  /** A change counts when it is larger than a quarter and than the noise of random arrivals. */
-  private static boolean moved(@Nullable Float before, float now) {
+  /**
+   * A change is significant when it exceeds a quarter of the earlier rate and the noise of random
+   * arrivals.
+   */
+  private static boolean hasRateChanged(@Nullable Float before, float now) {
     if (before == null) {
       return now > 0;
     }
-    double noise = NOISE_DEVIATIONS * Math.sqrt(Math.max(1, before));
-    return Math.abs(now - before) > Math.max(noise, RATE_CHANGE * before);
+    double noise = NOISE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, before));
+    return Math.abs(now - before) > Math.max(noise, MIN_RELATIVE_RATE_CHANGE * before);
   }
 
   private void announce(MemberInfo info) {
@@ -147,10 +154,10 @@
   private static void logChanges(SortedMap<HostId, Member> before, SortedMap<HostId, Member> now) {
     now.forEach(
         (id, m) -> {
-          Member old = before.get(id);
-          MemberStatus was = old == null ? null : old.status();
-          boolean leaves = m.info().leaving() && (old == null || !old.info().leaving());
-          if (was != m.status() || leaves) {
+          Member previous = before.get(id);
+          MemberStatus previousStatus = previous == null ? null : previous.status();
+          boolean leaves = m.info().leaving() && (previous == null || !previous.info().leaving());
+          if (previousStatus != m.status() || leaves) {
             LOG.atInfo().log(
                 "%s",
                 Event.named("member_changed")
--- a/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
+++ b/host/src/main/java/dev/cactusstack/host/control/RoutingViewBuilder.java
@@ -29,31 +29,31 @@
 import java.util.function.ToDoubleFunction;
 import org.jspecify.annotations.Nullable;
 
-/** Computes routing snapshots from members, configuration and upstreams. Confined to one thread. */
-final class RoutingPlan {
+/** Builds routing snapshots from members, configuration and upstreams. Confined to one thread. */
+final class RoutingViewBuilder {
   private final Member self;
-  private final List<Member> known;
-  private final List<Member> serving;
+  private final List<Member> allMembers;
+  private final List<Member> servingMembers;
   private final Map<HostId, Member> byId = new HashMap<>();
   private final Map<DataCentre, List<HostId>> byDataCentre = new HashMap<>();
   private final ToDoubleFunction<HostId> roundTripMs;
 
-  RoutingPlan(Member self, Iterable<Member> members, ToDoubleFunction<HostId> roundTripMs) {
+  RoutingViewBuilder(Member self, Iterable<Member> members, ToDoubleFunction<HostId> roundTripMs) {
     this.self = self;
     this.roundTripMs = roundTripMs;
-    this.known = new ArrayList<>();
-    this.serving = new ArrayList<>();
+    this.allMembers = new ArrayList<>();
+    this.servingMembers = new ArrayList<>();
     for (Member m : members) {
-      known.add(m);
+      allMembers.add(m);
       if (m.isServing()) {
-        serving.add(m);
+        servingMembers.add(m);
         byId.put(m.id(), m);
         byDataCentre.computeIfAbsent(m.info().dataCentre(), d -> new ArrayList<>()).add(m.id());
       }
     }
   }
 
-  RoutingView view(
+  RoutingView build(
       ConfigurationTable table,
       Map<RouteKey, List<Upstream>> upstreams,
       Map<RouteKey, RouteScheduler> schedulers) {
@@ -86,7 +86,10 @@
     return list != null && list.stream().anyMatch(u -> u.health().state() != UpstreamState.LEAVING);
   }
 
-  /** The first-ranked host of the route's data centre; of all hosts when that one has none. */
+  /**
+   * Returns the highest-ranked host of the route's data centre, or of all hosts when that data
+   * centre has none.
+   */
   private Optional<RouteOwner> owner(RouteKey key, RouteScheduler scheduler) {
     List<HostId> candidates =
         byDataCentre.getOrDefault(key.dataCentre(), List.copyOf(byId.keySet()));
@@ -110,7 +113,7 @@
 
   private Map<ServiceName, Map<DataCentre, Double>> arrivals() {
     var arrivals = new TreeMap<ServiceName, Map<DataCentre, Double>>();
-    for (Member m : known) {
+    for (Member m : allMembers) {
       if (m.status() == MemberStatus.DEAD) {
         continue;
       }
@@ -123,11 +126,15 @@
     return arrivals;
   }
 
-  /** Suspected hosts are left out, unless nobody else is left. */
+  /**
+   * Returns the entries for callers. Suspected hosts are omitted unless no other host is serving.
+   */
   private List<EntryEndpoint> entries() {
-    List<Member> alive = serving.stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
-    List<Member> shown = !alive.isEmpty() ? alive : !serving.isEmpty() ? serving : List.of(self);
-    return shown.stream()
+    List<Member> alive =
+        servingMembers.stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
+    List<Member> announced =
+        !alive.isEmpty() ? alive : !servingMembers.isEmpty() ? servingMembers : List.of(self);
+    return announced.stream()
         .map(m -> new EntryEndpoint(m.info().callers(), m.info().dataCentre()))
         .toList();
   }
--- a/host/src/main/java/dev/cactusstack/host/control/package-info.java
+++ b/host/src/main/java/dev/cactusstack/host/control/package-info.java
@@ -1,4 +1,6 @@
-/** The controllers: each has one writer, an event loop on a Disruptor ring. */
+/**
+ * The controllers. Only one thread changes their state: an event loop on a Disruptor ring buffer.
+ */
 @NullMarked
 package dev.cactusstack.host.control;
 
--- a/host/src/main/java/dev/cactusstack/host/observe/Event.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/Event.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * One log line of {@code key=value} pairs; values are quoted where needed.
+ * A structured log line of {@code key=value} pairs; values are quoted where needed.
  *
  * <p>Immutable and thread-safe.
  */
@@ -17,7 +17,7 @@
   /**
    * Starts a line.
    *
-   * @param name the kind of event
+   * @param name the name of the event
    * @return the line with its first pair
    */
   public static Event named(String name) {
@@ -27,9 +27,9 @@
   /**
    * Adds a pair.
    *
-   * @param key the key, a plain word
+   * @param key the key, without characters that need quoting
    * @param value the value
-   * @return the longer line
+   * @return a new line with the pair appended
    */
   public Event with(String key, Object value) {
     Objects.requireNonNull(value, "value is null");
--- a/host/src/main/java/dev/cactusstack/host/observe/LogSetup.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/LogSetup.java
@@ -8,9 +8,14 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sends every log record to standard error as one line of pairs. Stateless. */
+/**
+ * Configures logging: every record is written to standard error as one line of key-value pairs.
+ * Stateless.
+ */
 public final class LogSetup {
-  private static final String[] QUIET = {"org.xnio", "io.undertow", "org.jboss", "io.netty"};
+  private static final String[] QUIETED_LOGGERS = {
+    "org.xnio", "io.undertow", "org.jboss", "io.netty"
+  };
 
   private LogSetup() {}
 
@@ -21,16 +26,16 @@
       root.removeHandler(h);
     }
     var console = new ConsoleHandler();
-    console.setFormatter(new PairsFormatter());
+    console.setFormatter(new KeyValueFormatter());
     console.setLevel(Level.ALL);
     root.addHandler(console);
-    for (String name : QUIET) {
+    for (String name : QUIETED_LOGGERS) {
       Logger.getLogger(name).setLevel(Level.SEVERE);
     }
   }
 
-  /** Formats a record as time, level and the event's own pairs. Stateless. */
-  private static final class PairsFormatter extends Formatter {
+  /** Formats a record as time, level and the pairs of the event. Stateless. */
+  private static final class KeyValueFormatter extends Formatter {
     @Override
     public String format(LogRecord r) {
       String message = formatMessage(r);
--- a/host/src/main/java/dev/cactusstack/host/observe/Metrics.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/Metrics.java
@@ -19,17 +19,17 @@
    * @param service the service
    * @return its metrics, created at the first call
    */
-  public ServiceMetrics of(ServiceName service) {
+  public ServiceMetrics forService(ServiceName service) {
     return services.computeIfAbsent(service, s -> new ServiceMetrics(registry, s));
   }
 
   /**
-   * Exposes a number that is read when metrics are scraped.
+   * Registers a gauge that is read when metrics are scraped.
    *
    * @param name the metric's name, with dots
    * @param description what it counts, with its unit
-   * @param source the object that the number is read from
-   * @param read reads it
+   * @param source the object from which the value is read
+   * @param read reads the value
    * @param <T> the type of the source
    */
   public <T> void gauge(String name, String description, T source, ToDoubleFunction<T> read) {
--- a/host/src/main/java/dev/cactusstack/host/observe/ServiceMetrics.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/ServiceMetrics.java
@@ -13,7 +13,7 @@
 
 /** The histograms and counters of one service. Thread-safe. */
 public final class ServiceMetrics {
-  private static final Duration[] BOUNDS = {
+  private static final Duration[] HISTOGRAM_BOUNDS = {
     Duration.ofNanos(100_000),
     Duration.ofNanos(200_000),
     Duration.ofNanos(500_000),
@@ -38,13 +38,14 @@
   private final Timer total;
   private final Timer added;
   private final Counter attempts;
-  private final Map<ProblemKind, Counter> refusals = new ConcurrentHashMap<>();
+  private final Map<ProblemKind, Counter> problemCounters = new ConcurrentHashMap<>();
 
   ServiceMetrics(MeterRegistry registry, ServiceName service) {
     this.registry = Objects.requireNonNull(registry, "registry is null");
     this.service = service.value();
     this.total =
-        timer("cactusstack.request.total", "Time from a request's arrival to its whole answer");
+        timer(
+            "cactusstack.request.total", "Time from a request's arrival to its complete response");
     this.added = timer("cactusstack.request.added", "Time added by this host to a request");
     this.attempts =
         Counter.builder("cactusstack.attempts")
@@ -57,38 +58,38 @@
     return Timer.builder(name)
         .description(description)
         .tag("service", service)
-        .serviceLevelObjectives(BOUNDS)
+        .serviceLevelObjectives(HISTOGRAM_BOUNDS)
         .register(registry);
   }
 
   /**
-   * Records a request that was answered.
+   * Records a completed request.
    *
-   * @param totalNanos from its arrival to its whole answer
-   * @param addedNanos the part spent in this host
+   * @param totalNanos the time from its arrival to its complete response
+   * @param addedNanos the part of that time spent in this host
    */
-  public void answered(long totalNanos, long addedNanos) {
+  public void recordRequest(long totalNanos, long addedNanos) {
     total.record(totalNanos, TimeUnit.NANOSECONDS);
     added.record(Math.max(0, addedNanos), TimeUnit.NANOSECONDS);
   }
 
   /** Records an attempt. */
-  public void attempted() {
+  public void recordAttempt() {
     attempts.increment();
   }
 
   /**
-   * Records an answer that the system made itself.
+   * Records a response that the host generated itself.
    *
-   * @param kind why
+   * @param kind the kind of problem
    */
-  public void refused(ProblemKind kind) {
-    refusals
+  public void recordProblem(ProblemKind kind) {
+    problemCounters
         .computeIfAbsent(
             kind,
             k ->
                 Counter.builder("cactusstack.refusals")
-                    .description("Requests answered by the system itself")
+                    .description("Requests that this host answered with a problem")
                     .tag("service", service)
                     .tag("kind", k.label())
                     .register(registry))
--- a/host/src/main/java/dev/cactusstack/host/observe/Ticker.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/Ticker.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A steady clock. Implementations are thread-safe and never go back. */
+/** A monotonic clock. Implementations are thread-safe. */
 @FunctionalInterface
 public interface Ticker {
   /** The clock of the Java runtime. */
--- a/host/src/main/java/dev/cactusstack/host/observe/package-info.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/package-info.java
@@ -1,4 +1,4 @@
-/** What the host tells of itself: structured log events and metrics. */
+/** Observability of the host: structured log events and metrics. */
 @NullMarked
 package dev.cactusstack.host.observe;
 
--- a/host/src/main/java/dev/cactusstack/host/operators/JsonReplies.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/JsonResponses.java
@@ -12,12 +12,12 @@
 import io.undertow.util.Headers;
 import java.nio.ByteBuffer;
 
-/** Writes JSON answers for operators. Stateless. */
-final class JsonReplies {
+/** Writes JSON responses for operators. Stateless. */
+final class JsonResponses {
   private static final int OK = 200;
   private static final int CONFLICT = 409;
 
-  private JsonReplies() {}
+  private JsonResponses() {}
 
   static void send(HttpServerExchange x, int status, JsonNode body) {
     x.setStatusCode(status);
@@ -27,30 +27,31 @@
   }
 
   static void problem(HttpServerExchange x, Problem p) {
-    send(x, p.kind().status(), fields(p).put("outcome", "not-accepted"));
+    send(x, p.kind().status(), problemFields(p).put("outcome", "not-accepted"));
   }
 
   static void outcome(HttpServerExchange x, EditOutcome o) {
     if (o instanceof EditOutcome.Accepted a) {
       send(x, OK, Json.object().put("outcome", "accepted").put("version", a.version()));
     } else if (o instanceof EditOutcome.Conflict c) {
-      send(x, CONFLICT, conflict(c));
+      send(x, CONFLICT, conflictBody(c));
     } else if (o instanceof EditOutcome.NotAccepted n) {
       problem(x, n.problem());
     } else if (o instanceof EditOutcome.Unknown u) {
-      ObjectNode n = fields(u.problem()).put("outcome", "unknown").put("operation", u.operation());
+      ObjectNode n =
+          problemFields(u.problem()).put("outcome", "unknown").put("operation", u.operation());
       send(x, u.problem().kind().status(), n);
     }
   }
 
-  private static ObjectNode fields(Problem p) {
+  private static ObjectNode problemFields(Problem p) {
     return Json.object()
         .put("kind", p.kind().label())
         .put("message", p.message())
         .put("remedy", p.remedy());
   }
 
-  private static ObjectNode conflict(EditOutcome.Conflict c) {
+  private static ObjectNode conflictBody(EditOutcome.Conflict c) {
     ObjectNode n = Json.object().put("outcome", "conflict");
     ArrayNode list = n.putArray("conflicts");
     c.rowConflicts()
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
@@ -22,11 +22,11 @@
 import java.util.function.Supplier;
 import javax.net.ssl.SSLContext;
 
-/** The port for operators. Thread-safe. */
+/** The HTTP server for operators. Thread-safe. */
 public final class OperatorsServer implements AutoCloseable {
   private static final long MAX_BODY_BYTES = 8L << 20;
   private static final String DATA_CENTRES = "/v1/data-centres/";
-  private static final String PAGE_POLICY =
+  private static final String CONTENT_SECURITY_POLICY =
       "default-src 'self'; frame-ancestors 'none'; base-uri 'none'; form-action 'none'";
 
   private final OperatorsView view;
@@ -39,9 +39,9 @@
    *
    * @param settings the port's settings
    * @param tls the server's key, if the port uses TLS
-   * @param view renders what operators ask to see
+   * @param view creates the response bodies of queries
    * @param edits commits changes
-   * @param metrics what {@code /metrics} shows
+   * @param metrics the metrics that {@code /metrics} exposes
    */
   public OperatorsServer(
       OperatorsSettings settings,
@@ -61,7 +61,7 @@
             .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 60_000)
-            .setHandler(new PageFilter(PAGE_POLICY, api));
+            .setHandler(new PageFilter(CONTENT_SECURITY_POLICY, api));
     int port = settings.address().port();
     String ip = settings.address().ip();
     this.server =
@@ -83,17 +83,17 @@
   private void route(HttpServerExchange x) {
     String path = x.getRequestPath();
     if (x.getRequestMethod().equals(Methods.POST)) {
-      change(x, path);
+      handleChange(x, path);
       return;
     }
     if (!x.getRequestMethod().equals(Methods.GET)) {
-      JsonReplies.problem(x, Problem.invalid("the method is not served here", "use GET or POST"));
+      JsonResponses.problem(x, Problem.invalid("the method is not served here", "use GET or POST"));
       return;
     }
     switch (path) {
-      case "/v1/table" -> show(x, view::table);
-      case "/v1/in-force" -> show(x, view::inForce);
-      case "/v1/status" -> show(x, view::status);
+      case "/v1/table" -> sendJson(x, view::table);
+      case "/v1/in-force" -> sendJson(x, view::inForce);
+      case "/v1/status" -> sendJson(x, view::status);
       case "/metrics" -> {
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; version=0.0.4");
         x.getResponseSender().send(metrics.scrape());
@@ -102,12 +102,12 @@
     }
   }
 
-  private static void show(HttpServerExchange x, Supplier<ObjectNode> content) {
-    JsonReplies.send(x, 200, content.get());
+  private static void sendJson(HttpServerExchange x, Supplier<ObjectNode> content) {
+    JsonResponses.send(x, 200, content.get());
   }
 
   private static void notFound(HttpServerExchange x) {
-    JsonReplies.problem(
+    JsonResponses.problem(
         x,
         new Problem(
             ProblemKind.NOT_FOUND,
@@ -115,12 +115,12 @@
             "see docs/operations/operators-port.md for the paths"));
   }
 
-  private void change(HttpServerExchange x, String path) {
+  private void handleChange(HttpServerExchange x, String path) {
     if (path.equals("/v1/edits")) {
-      commit(x, body -> EditRequests.edits(body).map(p -> p));
+      commit(x, body -> EditParser.parseEdits(body).map(p -> p));
     } else if (path.startsWith(DATA_CENTRES)) {
       String name = path.substring(DATA_CENTRES.length());
-      commit(x, body -> EditRequests.dataCentre(name, body).map(p -> p));
+      commit(x, body -> EditParser.parseDataCentrePlan(name, body).map(p -> p));
     } else {
       notFound(x);
     }
@@ -134,27 +134,28 @@
                     .apply(body)
                     .fold(
                         p -> {
-                          JsonReplies.problem(ex, p);
+                          JsonResponses.problem(ex, p);
                           return true;
                         },
                         plan -> {
-                          ex.dispatch(SameThreadExecutor.INSTANCE, () -> run(ex, plan));
+                          ex.dispatch(
+                              SameThreadExecutor.INSTANCE, () -> commitAndRespond(ex, plan));
                           return true;
                         }),
             (ex, e) ->
-                JsonReplies.problem(
+                JsonResponses.problem(
                     ex,
                     new Problem(
                         ProblemKind.BODY_TOO_LARGE,
-                        "the change did not arrive whole",
-                        "send less")));
+                        "the body of the change is too large or incomplete",
+                        "send a smaller body")));
   }
 
-  private void run(HttpServerExchange x, ChangePlan plan) {
-    edits.commit(plan).thenAccept(o -> x.getIoThread().execute(() -> JsonReplies.outcome(x, o)));
+  private void commitAndRespond(HttpServerExchange x, ChangePlan plan) {
+    edits.commit(plan).thenAccept(o -> x.getIoThread().execute(() -> JsonResponses.outcome(x, o)));
   }
 
-  /** Serves the page's files, which hold no data, to everyone. Stateless. */
+  /** Serves the page's files without authorisation, because they contain no data. Stateless. */
   private record PageFilter(String policy, HttpHandler next) implements HttpHandler {
     @Override
     public void handleRequest(HttpServerExchange x) throws Exception {
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
@@ -20,7 +20,7 @@
 import java.util.Collection;
 import java.util.Objects;
 
-/** Renders what operators ask to see. Thread-safe. */
+/** Creates the response bodies of queries from operators. Thread-safe. */
 public final class OperatorsView {
   private final HostId self;
   private final ConfigurationController configuration;
@@ -33,7 +33,7 @@
    *
    * @param self this host
    * @param configuration the configuration in force
-   * @param members the group
+   * @param members the members of the group
    * @param upstreams the routes and their upstreams
    * @param ticker the clock
    */
@@ -54,7 +54,7 @@
     ConfigurationTable t = configuration.inForce();
     ObjectNode n = Json.object().put("version", t.version());
     ArrayNode rows = n.putArray("rows");
-    t.routes().values().forEach(r -> rows.add(JsonReplies.row(r)));
+    t.routes().values().forEach(r -> rows.add(JsonResponses.row(r)));
     ArrayNode dataCentres = n.putArray("data_centres");
     t.dataCentres()
         .values()
@@ -69,30 +69,30 @@
   }
 
   ObjectNode inForce() {
-    Collection<Member> live = live();
-    long newest =
+    Collection<Member> live = liveMembers();
+    long newestVersion =
         live.stream()
             .mapToLong(m -> m.info().configVersion())
             .reduce(configuration.inForce().version(), Math::max);
-    long have = live.stream().filter(m -> m.info().configVersion() >= newest).count();
+    long upToDate = live.stream().filter(m -> m.info().configVersion() >= newestVersion).count();
     ObjectNode n =
         Json.object()
-            .put("version", newest)
-            .put("in_force", have)
+            .put("version", newestVersion)
+            .put("in_force", upToDate)
             .put("hosts_total", live.size())
             .put("table_service_reachable", configuration.isStoreReachable());
     ArrayNode hosts = n.putArray("hosts");
-    live.forEach(m -> hosts.add(host(m)));
+    live.forEach(m -> hosts.add(hostFields(m)));
     return n;
   }
 
-  private Collection<Member> live() {
+  private Collection<Member> liveMembers() {
     return members.members().values().stream()
         .filter(m -> m.status() != MemberStatus.DEAD)
         .toList();
   }
 
-  private static ObjectNode host(Member m) {
+  private static ObjectNode hostFields(Member m) {
     return Json.object()
         .put("id", m.id().value())
         .put("data_centre", m.info().dataCentre().value())
--- a/host/src/main/java/dev/cactusstack/host/operators/PageFile.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/PageFile.java
@@ -25,7 +25,7 @@
   private static String read(String resource) {
     try (InputStream in = PageFile.class.getResourceAsStream(resource)) {
       if (in == null) {
-        throw new IllegalStateException("the program lacks its file " + resource);
+        throw new IllegalStateException("resource not found: " + resource);
       }
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
--- a/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * Admits requests with the operators' token. Changes must be JSON, which a page of another site
- * cannot send without the browser's consent check. Thread-safe.
+ * Rejects requests without the operators' token. Changes must be sent as JSON, which a page of
+ * another site cannot send without a CORS preflight request. Thread-safe.
  */
 final class TokenFilter implements HttpHandler {
   private static final String SCHEME = "Bearer ";
@@ -30,7 +30,7 @@
   public void handleRequest(HttpServerExchange x) throws Exception {
     if (!isAuthorised(x)) {
       x.getResponseHeaders().put(Headers.WWW_AUTHENTICATE, "Bearer");
-      JsonReplies.problem(
+      JsonResponses.problem(
           x,
           new Problem(
               ProblemKind.NOT_AUTHORISED,
@@ -43,7 +43,7 @@
     boolean changes = x.getRequestMethod().equals(Methods.POST);
     String type = x.getRequestHeaders().getFirst(Headers.CONTENT_TYPE);
     if (changes && (type == null || !type.startsWith("application/json"))) {
-      JsonReplies.problem(
+      JsonResponses.problem(
           x, Problem.invalid("a change is not JSON", "send Content-Type: application/json"));
       return;
     }
--- a/host/src/main/java/dev/cactusstack/host/operators/package-info.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/package-info.java
@@ -1,4 +1,4 @@
-/** The port for operators: a JSON interface, the table page and metrics. */
+/** The HTTP interface for operators: JSON API, table page and metrics. */
 @NullMarked
 package dev.cactusstack.host.operators;
 
--- a/host/src/main/resources/dev/cactusstack/host/operators/table.js
+++ b/host/src/main/resources/dev/cactusstack/host/operators/table.js
@@ -5,7 +5,7 @@
 const rowsBody = document.getElementById("rows");
 const summary = document.getElementById("summary");
 const login = document.getElementById("login");
-const notes = new Map(); // Row key to what the operator is told of the last edit.
+const notes = new Map(); // Row key to the result of the last edit.
 let table = { version: 0, rows: [], data_centres: [] };
 let force = { version: 0, in_force: 0, hosts_total: 0, hosts: [] };
 let editing = null;
@@ -177,7 +177,7 @@
   try {
     notes.set(key, noteOf(await post("/v1/edits", body), column));
   } catch (e) {
-    notes.set(key, { kind: "problem", text: `unknown: no answer. Reload the page to see whether ${column} was saved.` });
+    notes.set(key, { kind: "problem", text: `unknown: no response. Reload the page to see whether ${column} was saved.` });
   }
   await refresh();
 }
@@ -190,7 +190,7 @@
     const c = reply.conflicts[0];
     return {
       kind: "conflict",
-      text: `conflict: yours ${column} ${c.mine[column]}, the other edit made weight ${c.theirs.weight}, limit ${c.theirs.limit}, upstream limit ${c.theirs.upstream_limit} (version ${c.theirs.version}). Edit again to replace it.`,
+      text: `conflict: yours ${column} ${c.mine[column]}, the other edit set weight ${c.theirs.weight}, limit ${c.theirs.limit}, upstream limit ${c.theirs.upstream_limit} (version ${c.theirs.version}). Edit again to replace it.`,
     };
   }
   return { kind: "problem", text: `${reply.outcome}: ${reply.message}. ${reply.remedy}` };
--- a/host/src/test/java/dev/cactusstack/host/callers/ForwardTokenTest.java
+++ b/host/src/test/java/dev/cactusstack/host/callers/ForwardTokenTest.java
@@ -11,27 +11,28 @@
 import org.junit.jupiter.api.Test;
 
 class ForwardTokenTest {
-  private static final KeyRing RING =
+  private static final KeyRing KEY_RING =
       new KeyRing(List.of(new LinkKey(1, "0123456789abcdef".getBytes())));
 
-  private static ForwardToken at(long ms) {
-    return new ForwardToken(new HostId("a-1"), RING, InstantSource.fixed(Instant.ofEpochMilli(ms)));
+  private static ForwardToken tokenAt(long ms) {
+    return new ForwardToken(
+        new HostId("a-1"), KEY_RING, InstantSource.fixed(Instant.ofEpochMilli(ms)));
   }
 
   @Test
-  void shouldBeAcceptedByAnotherHostWithinItsMinutes() {
-    String token = at(600_000).issue();
-    assertThat(at(610_000).verify(token)).isTrue();
-    assertThat(at(660_000).verify(token)).isTrue();
-    assertThat(at(900_000).verify(token)).isFalse();
+  void shouldAcceptTokenWhenIssuedByAnotherHostWithinOneMinute() {
+    String token = tokenAt(600_000).issue();
+    assertThat(tokenAt(610_000).verify(token)).isTrue();
+    assertThat(tokenAt(660_000).verify(token)).isTrue();
+    assertThat(tokenAt(900_000).verify(token)).isFalse();
   }
 
   @Test
-  void shouldBeRefusedWhenForgedOrMalformed() {
-    String token = at(600_000).issue();
-    for (String bad :
+  void shouldRejectTokenWhenForgedOrMalformed() {
+    String token = tokenAt(600_000).issue();
+    for (String invalidToken :
         List.of("", "x", "a-1 10 1 zz", "a b c d", token.replace("a-1", "a-2"), token + "00")) {
-      assertThat(at(600_000).verify(bad)).isFalse();
+      assertThat(tokenAt(600_000).verify(invalidToken)).isFalse();
     }
   }
 }
--- a/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
+++ b/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
@@ -23,7 +23,7 @@
 class RouteSchedulerTest {
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
 
-  /** A request without a thread. */
+  /** A lease request that records its result. */
   private static final class Request implements LeaseRequest {
     private Lease lease;
     private Problem problem;
@@ -54,7 +54,7 @@
     }
   }
 
-  private static List<Upstream> warm(int count) {
+  private static List<Upstream> warmUpstreams(int count) {
     var list = new ArrayList<Upstream>();
     for (int i = 0; i < count; i++) {
       var u = new Upstream(new Address("10.0.0." + (i + 1), 80));
@@ -67,47 +67,47 @@
   }
 
   private static RouteScheduler scheduler(
-      List<Upstream> ups, int limit, int perUpstream, int queue) {
+      List<Upstream> upstreamList, int limit, int perUpstream, int queue) {
     var s = new RouteScheduler(KEY, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, () -> 0);
-    s.configure(ups, limit, perUpstream, queue);
+    s.configure(upstreamList, limit, perUpstream, queue);
     return s;
   }
 
   @Property(tries = 200, seed = "41")
-  void shouldStayWithinEveryLimitWhenRequestsComeAndGo(
+  void shouldNotExceedAnyLimitWhenRequestsStartAndFinish(
       @ForAll @IntRange(min = 1, max = 5) int upstreams,
       @ForAll @IntRange(max = 12) int limit,
       @ForAll @IntRange(min = 1, max = 4) int perUpstream,
       @ForAll int seed) {
-    List<Upstream> ups = warm(upstreams);
-    RouteScheduler s = scheduler(ups, limit, perUpstream, 50);
+    List<Upstream> upstreamList = warmUpstreams(upstreams);
+    RouteScheduler s = scheduler(upstreamList, limit, perUpstream, 50);
     var random = new Random(seed);
-    var open = new ArrayList<Request>();
+    var openRequests = new ArrayList<Request>();
     for (int i = 0; i < 200; i++) {
       if (random.nextBoolean()) {
         var r = new Request();
         s.submit(r);
-        open.add(r);
+        openRequests.add(r);
       }
-      open.stream()
+      openRequests.stream()
           .filter(r -> r.lease() != null)
           .findAny()
           .ifPresent(
               r -> {
                 if (random.nextInt(3) == 0) {
-                  open.remove(r);
+                  openRequests.remove(r);
                   r.lease().release();
                 }
               });
       assertThat(s.inFlight()).isLessThanOrEqualTo(limit);
-      assertThat(ups).allSatisfy(u -> assertThat(u.inFlight()).isBetween(0, perUpstream));
+      assertThat(upstreamList).allSatisfy(u -> assertThat(u.inFlight()).isBetween(0, perUpstream));
     }
   }
 
   @Property(tries = 100, seed = "42")
-  void shouldServeEveryWaitingRequestWhenLeasesAreReleased(
+  void shouldServeEveryQueuedRequestWhenLeasesAreReleased(
       @ForAll @IntRange(min = 1, max = 40) int n) {
-    RouteScheduler s = scheduler(warm(2), 3, 2, 50);
+    RouteScheduler s = scheduler(warmUpstreams(2), 3, 2, 50);
     var all = new ArrayList<Request>();
     for (int i = 0; i < n; i++) {
       var r = new Request();
@@ -123,8 +123,8 @@
   }
 
   @Test
-  void shouldRefuseWithARemedyWhenTheQueueIsFull() {
-    RouteScheduler s = scheduler(warm(1), 1, 1, 1);
+  void shouldRejectWithRemedyWhenQueueIsFull() {
+    RouteScheduler s = scheduler(warmUpstreams(1), 1, 1, 1);
     var requests = new ArrayList<Request>();
     for (int i = 0; i < 4; i++) {
       var r = new Request();
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void shouldSendOneRequestAtATimeWhenAnUpstreamIsCold() {
+  void shouldSendOneRequestAtATimeWhenUpstreamIsCold() {
     var cold = new Upstream(new Address("10.0.0.1", 80));
     RouteScheduler s = scheduler(List.of(cold), 10, 4, 50);
     for (int i = 0; i < 5; i++) {
@@ -146,8 +146,8 @@
   }
 
   @Test
-  void shouldReleaseOnceWhenReleasedTwice() {
-    RouteScheduler s = scheduler(warm(1), 4, 4, 0);
+  void shouldReleaseLeaseOnceWhenReleasedTwice() {
+    RouteScheduler s = scheduler(warmUpstreams(1), 4, 4, 0);
     Lease l = s.tryAcquire(Set.of());
     l.release();
     l.release();
@@ -155,18 +155,18 @@
   }
 
   @Test
-  void shouldKeepItsLimitsWhenThreadsRace() throws InterruptedException {
-    List<Upstream> ups = warm(3);
-    RouteScheduler s = scheduler(ups, 5, 2, 10_000);
-    var over = new AtomicInteger();
+  void shouldNotExceedLimitsWhenThreadsAcquireConcurrently() throws InterruptedException {
+    List<Upstream> upstreamList = warmUpstreams(3);
+    RouteScheduler s = scheduler(upstreamList, 5, 2, 10_000);
+    var limitViolations = new AtomicInteger();
     var pool = Executors.newFixedThreadPool(4);
     for (int t = 0; t < 4; t++) {
       pool.execute(
           () -> {
             for (int i = 0; i < 5_000; i++) {
               Lease l = s.tryAcquire(Set.of());
-              if (s.inFlight() > 5 || ups.stream().anyMatch(u -> u.inFlight() > 2)) {
-                over.incrementAndGet();
+              if (s.inFlight() > 5 || upstreamList.stream().anyMatch(u -> u.inFlight() > 2)) {
+                limitViolations.incrementAndGet();
               }
               if (l != null) {
                 l.release();
@@ -176,7 +176,7 @@
     }
     pool.shutdown();
     assertThat(pool.awaitTermination(60, TimeUnit.SECONDS)).isTrue();
-    assertThat(over).hasValue(0);
+    assertThat(limitViolations).hasValue(0);
     assertThat(s.inFlight()).isZero();
   }
 }
--- a/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
+++ b/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
@@ -28,15 +28,15 @@
 class EditServiceTest {
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
 
-  /** A table service in memory that is down after a number of reads. */
+  /** An in-memory table service that fails all reads after a given number of them. */
   private static final class FailingStore implements TableStore {
-    private final boolean loseCommits;
+    private final boolean loseCommitResponses;
     private ConfigurationTable table;
     private int readsLeft;
 
-    FailingStore(int readsLeft, boolean loseCommits) {
+    FailingStore(int readsLeft, boolean loseCommitResponses) {
       this.readsLeft = readsLeft;
-      this.loseCommits = loseCommits;
+      this.loseCommitResponses = loseCommitResponses;
       this.table = tableOf(new Route(KEY, 20, 40, 4, 1, List.of()));
     }
 
@@ -61,7 +61,7 @@
         return CompletableFuture.completedFuture(new CommitOutcome.VersionMismatch());
       }
       table = tableOf(row.withVersion(table.version() + 1));
-      return loseCommits
+      return loseCommitResponses
           ? CompletableFuture.failedFuture(new HttpFailure(true, "the answer was lost"))
           : CompletableFuture.completedFuture(new CommitOutcome.Committed(table.version()));
     }
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void shouldBeInForceWhenTheTableGoesDownRightAfterTheCommit() {
+  void shouldApplyEditWhenTableServiceFailsRightAfterCommit() {
     var store = new FailingStore(1, false);
     ConfigurationController configuration = configuration(store);
     EditOutcome o = new EditService(store, configuration).commit(plan()).join();
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void shouldBeAcceptedWhenTheAnswerIsLostButARowTells() {
+  void shouldAcceptEditWhenResponseIsLostButRowShowsCommit() {
     var store = new FailingStore(2, true);
     ConfigurationController configuration = configuration(store);
     EditOutcome o = new EditService(store, configuration).commit(plan()).join();
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void shouldBeUnknownWhenTheAnswerIsLostAndNothingTells() {
+  void shouldReportUnknownWhenResponseIsLostAndTableIsUnreadable() {
     var store = new FailingStore(1, true);
     EditOutcome o = new EditService(store, configuration(store)).commit(plan()).join();
     assertThat(o).isInstanceOf(EditOutcome.Unknown.class);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void shouldBeNotAcceptedWhenTheTableIsDownFromTheStart() {
+  void shouldNotAcceptEditWhenTableServiceIsUnavailable() {
     var store = new FailingStore(0, false);
     EditOutcome o = new EditService(store, configuration(store)).commit(plan()).join();
     assertThat(o).isInstanceOf(EditOutcome.NotAccepted.class);
--- a/host/src/test/java/dev/cactusstack/host/observe/EventTest.java
+++ b/host/src/test/java/dev/cactusstack/host/observe/EventTest.java
@@ -7,7 +7,7 @@
 class EventTest {
 
   @Test
-  void shouldQuoteAValueOnlyWhenNeeded() {
+  void shouldQuoteValueOnlyWhenNeeded() {
     String line =
         Event.named("x").with("a", "plain").with("b", "two words").with("c", "q\"\\\n").toString();
     assertThat(line).isEqualTo("event=x a=plain b=\"two words\" c=\"q\\\"\\\\\\n\"");
