--- a/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
+++ b/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public synchronized CompletableFuture<ConfigurationTable> changesAfter(long revision) {
+    public synchronized CompletableFuture<ConfigurationTable> readChanges(long revision) {
       if (revision == 0) {
         return CompletableFuture.completedFuture(first);
       }
@@ -179,7 +179,7 @@
     @Override
     public CompletableFuture<CommitOutcome> commit(
         List<Route> routes, List<DataCentreRow> dataCentres) {
-      return CompletableFuture.completedFuture(new CommitOutcome.Refused("read only"));
+      return CompletableFuture.completedFuture(new CommitOutcome.Rejected("read only"));
     }
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/MeasuringScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/MeasuringScenario.java
@@ -61,7 +61,7 @@
               / hostSeconds,
           (controlNanos() - cpu) / 1e9 / hostSeconds,
           stage.hosts().stream().mapToLong(EntryHost::linkMessagesDropped).sum() - refused,
-          stage.hosts().get(0).settings().link().bytesPerSecond());
+          stage.hosts().get(0).settings().link().maxBytesPerSecond());
     }
   }
 
--- a/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/SpeedScenario.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.FreePorts;
 import dev.cactusstack.embedded.Site;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.standin.Deployment;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -85,7 +85,7 @@
   }
 
   private static Undertow emptyServer() {
-    XnioWorker worker = Workers.daemon("empty", 2);
+    XnioWorker worker = XnioWorkers.createDaemonWorker("empty", 2);
     Undertow u =
         Undertow.builder()
             .addHttpListener(FreePorts.next(), "127.0.0.1")
--- a/embedded/src/main/java/dev/cactusstack/embedded/Site.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/Site.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.cactusstack.http.Json;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.ListedHost;
 import dev.cactusstack.standin.Deployment;
 import dev.cactusstack.standin.PlatformStandIn;
@@ -44,7 +44,7 @@
   private Site(Deployment deployment, int scale, UnaryOperator<UpstreamTraits> change, long seed) {
     this.deployment = Objects.requireNonNull(deployment, "deployment is null");
     platform = PlatformStandIn.start(0);
-    worker = Workers.daemon("upstreams", UPSTREAM_THREADS);
+    worker = XnioWorkers.createDaemonWorker("upstreams", UPSTREAM_THREADS);
     var random = new Random(seed);
     for (UpstreamTraits t : deployment.upstreams(scale)) {
       var times = new Random(random.nextLong());
@@ -80,7 +80,7 @@
   }
 
   private ArrayNode rows() {
-    ArrayNode writes = Json.object().putArray("writes");
+    ArrayNode writes = Json.newObject().putArray("writes");
     var slots = new TreeMap<String, Integer>();
     upstreams.forEach(
         u ->
@@ -125,7 +125,7 @@
   }
 
   private static ObjectNode entry(ListedHost.Role role, String dataCentre, boolean leaving) {
-    return Json.object()
+    return Json.newObject()
         .put("role", role.name().toLowerCase(Locale.ROOT))
         .put("data_centre", dataCentre)
         .put("state", leaving ? "leaving" : "live");
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -21,16 +21,16 @@
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.host.operators.OperatorsServer;
 import dev.cactusstack.host.operators.OperatorsView;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.link.KeyRing;
 import dev.cactusstack.link.LinkCodec;
 import dev.cactusstack.link.LinkKey;
 import dev.cactusstack.link.LinkTransport;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.settings.HostSettings;
-import dev.cactusstack.storage.HttpClaims;
-import dev.cactusstack.storage.HttpPlatform;
+import dev.cactusstack.storage.HttpClaimStore;
+import dev.cactusstack.storage.HttpPlatformClient;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.List;
@@ -70,21 +70,21 @@
     this.settings = Objects.requireNonNull(settings, "settings is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     Objects.requireNonNull(clock, "clock is null");
-    worker = Workers.daemon("control", 1);
+    worker = XnioWorkers.createDaemonWorker("control", 1);
     loop = new ControlLoop(settings.id().value(), ticker);
     var metrics = new Metrics();
-    var caller = new HttpCaller(worker, Optional.empty());
+    var caller = new HttpClient(worker, Optional.empty());
     Duration timeout = Duration.ofMillis(settings.platform().timeoutMs());
-    var platform = new HttpPlatform(caller, settings.platform().address(), timeout);
-    var claims = new HttpClaims(caller, settings.platform().address(), timeout);
+    var platform = new HttpPlatformClient(caller, settings.platform().address(), timeout);
+    var claims = new HttpClaimStore(caller, settings.platform().address(), timeout);
     KeyRing keys = keyRing(settings);
     var receiver = new DeferredReceiver();
     transport = LinkTransport.open(new LinkCodec(keys), settings.link().address(), receiver);
     Member self = self(settings, clock.millis());
     budget =
         new TokenBucket(
-            settings.link().bytesPerSecond(),
-            (double) settings.link().bytesPerSecond() * LINK_BUDGET_BURST_SECONDS,
+            settings.link().maxBytesPerSecond(),
+            (double) settings.link().maxBytesPerSecond() * LINK_BUDGET_BURST_SECONDS,
             ticker.millis());
     sender = new BudgetedSender(transport, budget, ticker, this::isInOtherDataCentre);
     var members = new MembershipController(self, sender, ticker, new Random(clock.millis()));
@@ -93,14 +93,14 @@
             platform, members, sender, loop, ticker, settings.platform().readIntervalMs());
     var upstreams =
         new UpstreamsController(
-            platform, members, loop, ticker, policy, settings.requests().queueLength());
+            platform, members, loop, ticker, policy, settings.requests().maxQueueLength());
     callers =
         new CallersServer(
             settings.callers(),
             settings.requests(),
             upstreams::view,
             new ForwardToken(settings.id(), keys, clock),
-            new IdempotencyKeyClaims(claims, settings.requests().claimsPerSecond(), ticker),
+            new IdempotencyKeyClaims(claims, settings.requests().maxClaimsPerSecond(), ticker),
             metrics,
             ticker);
     var rates = new ArrivalRateController(callers.arrivals(), members, ticker);
@@ -119,8 +119,8 @@
 
   private void addGauges(Metrics metrics) {
     metrics.gauge(
-        "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentBytes());
-    metrics.gauge("cactusstack.link.rejected", "Datagrams rejected", transport, t -> t.rejected());
+        "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentByteCount());
+    metrics.gauge("cactusstack.link.rejected", "Datagrams rejected", transport, t -> t.rejectedCount());
     metrics.gauge(
         "cactusstack.link.over.budget",
         "Datagrams dropped because the budget was exhausted",
@@ -211,7 +211,7 @@
    * @return the count
    */
   public long linkBytesSent() {
-    return transport.sentBytes();
+    return transport.sentByteCount();
   }
 
   /**
--- a/host/src/main/java/dev/cactusstack/host/HostMain.java
+++ b/host/src/main/java/dev/cactusstack/host/HostMain.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.LogSetup;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.settings.CheckedSettings;
+import dev.cactusstack.settings.SettingsResult;
 import dev.cactusstack.settings.HostSettings;
 import java.io.File;
 import java.io.IOException;
@@ -93,24 +93,24 @@
   }
 
   private static void run(Path file, boolean checkOnly) {
-    CheckedSettings checked = read(file);
-    if (checked instanceof CheckedSettings.Invalid invalid) {
-      invalid.faults().forEach(System.err::println);
+    SettingsResult checked = read(file);
+    if (checked instanceof SettingsResult.Invalid invalid) {
+      invalid.errors().forEach(System.err::println);
       System.exit(EXIT_INVALID);
     } else if (checkOnly) {
       System.out.println(Event.named("settings_valid").with("file", file));
     } else {
-      serve(((CheckedSettings.Valid) checked).settings());
+      serve(((SettingsResult.Valid) checked).settings());
     }
   }
 
-  private static CheckedSettings read(Path file) {
+  private static SettingsResult read(Path file) {
     try {
       return HostSettings.parse(Files.readString(file), System.getenv());
     } catch (IOException e) {
-      return new CheckedSettings.Invalid(
+      return new SettingsResult.Invalid(
           java.util.List.of(
-              new dev.cactusstack.settings.SettingsFault(
+              new dev.cactusstack.settings.SettingsError(
                   "(file)", file.toString(), "name a file that can be read: " + e.getMessage())));
     }
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.retries.RetryBudget;
 import dev.cactusstack.host.observe.Metrics;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.RequestSettings;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -49,7 +49,7 @@
    * @param ticker the clock
    */
   public CallersServer(
-      CallersSettings callers,
+      CallerListenerSettings callers,
       RequestSettings requests,
       Supplier<RoutingView> view,
       ForwardToken token,
@@ -71,8 +71,8 @@
             pools,
             token,
             metrics,
-            new RetryBudget(requests.retryShare(), RETRY_BUDGET_RESERVE),
-            new RetryBudget(requests.hedgeShare(), HEDGE_BUDGET_RESERVE),
+            new RetryBudget(requests.retryRatio(), RETRY_BUDGET_RESERVE),
+            new RetryBudget(requests.hedgeRatio(), HEDGE_BUDGET_RESERVE),
             keyed,
             arrivals,
             new RemoteRouteLoads(ticker),
@@ -83,13 +83,13 @@
     server = server(callers, buffers);
   }
 
-  private static HttpHandler chain(CallersSettings callers, DataPathContext context) {
+  private static HttpHandler chain(CallerListenerSettings callers, DataPathContext context) {
     HttpHandler service = new HttpContinueReadHandler(new ServiceFilter(context));
     HttpHandler entries = new EntryLookupFilter(callers, context.view(), context.random(), service);
     return new FramingFilter(callers, entries);
   }
 
-  private Undertow server(CallersSettings s, DefaultByteBufferPool buffers) {
+  private Undertow server(CallerListenerSettings s, DefaultByteBufferPool buffers) {
     return Undertow.builder()
         .addHttpListener(s.address().port(), s.address().ip())
         .setByteBufferPool(buffers)
--- a/host/src/main/java/dev/cactusstack/host/callers/EntryLookupFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntryLookupFilter.java
@@ -8,7 +8,7 @@
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.Network;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -31,13 +31,13 @@
 final class EntryLookupFilter implements HttpHandler {
   static final String PATH = "/.well-known/cactusstack/entries";
 
-  private final CallersSettings settings;
+  private final CallerListenerSettings settings;
   private final Supplier<RoutingView> view;
   private final Supplier<Random> random;
   private final HttpHandler next;
 
   EntryLookupFilter(
-      CallersSettings settings,
+      CallerListenerSettings settings,
       Supplier<RoutingView> view,
       Supplier<Random> random,
       HttpHandler next) {
@@ -96,7 +96,7 @@
   }
 
   private void respond(HttpServerExchange x, RoutingView v) {
-    ObjectNode body = Json.object();
+    ObjectNode body = Json.newObject();
     ArrayNode list = body.putArray("entries");
     for (EntryEndpoint e : ordered(v, x.getSourceAddress().getAddress())) {
       list.addObject()
@@ -107,7 +107,7 @@
     long seconds = TimeUnit.MILLISECONDS.toSeconds(settings.entriesTtlMs());
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseHeaders().put(Headers.CACHE_CONTROL, "private, max-age=" + seconds);
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(body)));
   }
 
   /** Orders the entries: those of the caller's data centre first, each group in random order. */
@@ -125,7 +125,7 @@
   private DataCentre nearest(RoutingView v, InetAddress caller) {
     return settings.networks().stream()
         .filter(n -> n.contains(caller.getAddress()))
-        .max((a, b) -> Integer.compare(a.prefixBits(), b.prefixBits()))
+        .max((a, b) -> Integer.compare(a.prefixLength(), b.prefixLength()))
         .map(Network::dataCentre)
         .orElse(v.home());
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
@@ -47,7 +47,7 @@
     if (last.minute != minute) {
       String text = self + " " + minute;
       String tag = HexFormat.of().formatHex(keys.sign(bytes(text)));
-      last = new Issued(minute, text + " " + keys.signingId() + " " + tag);
+      last = new Issued(minute, text + " " + keys.signingKeyId() + " " + tag);
       issued = last;
     }
     return last.token;
--- a/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderMap;
@@ -18,10 +18,10 @@
 final class FramingFilter implements HttpHandler {
   private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-  private final CallersSettings settings;
+  private final CallerListenerSettings settings;
   private final HttpHandler next;
 
-  FramingFilter(CallersSettings settings, HttpHandler next) {
+  FramingFilter(CallerListenerSettings settings, HttpHandler next) {
     this.settings = settings;
     this.next = next;
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
@@ -92,7 +92,7 @@
           "look up its effect; it is not run again",
           Outcome.UNKNOWN);
     }
-    if (o instanceof ClaimOutcome.OtherRequest) {
+    if (o instanceof ClaimOutcome.RequestMismatch) {
       return rejected(
           ProblemKind.INVALID_INPUT,
           "this Idempotency-Key was used for another request",
@@ -121,11 +121,11 @@
   }
 
   void recordStatus(HeldClaim heldClaim, int status) {
-    store.finished(heldClaim.key(), heldClaim.holder(), status);
+    store.markAnswered(heldClaim.key(), heldClaim.holder(), status);
   }
 
   void releaseNotRun(HeldClaim heldClaim) {
-    store.released(heldClaim.key(), heldClaim.holder());
+    store.release(heldClaim.key(), heldClaim.holder());
   }
 
   private static String digest(String text) {
--- a/host/src/main/java/dev/cactusstack/host/callers/ProblemResponses.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ProblemResponses.java
@@ -56,13 +56,13 @@
       x.setPersistent(false);
     }
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("type", "about:blank")
             .put("title", p.message())
             .put("status", p.kind().status())
             .put("kind", p.kind().label())
             .put("remedy", p.remedy())
             .put("outcome", outcome.label());
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(n)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(n)));
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestExecution.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestExecution.java
@@ -149,7 +149,7 @@
 
   /** Returns how long the caller still waits, capped at the response timeout. */
   private long remainingMs() {
-    return attributes.remainingMs(context.ticker().nanos(), context.settings().answerTimeoutMs());
+    return attributes.remainingMs(context.ticker().nanos(), context.settings().responseTimeoutMs());
   }
 
   private AttemptInfo attemptInfo() {
@@ -287,7 +287,7 @@
     }
     mayHaveRun |= !state.provesNotRun();
     boolean retryAllowed =
-        attempts < context.settings().attempts()
+        attempts < context.settings().maxAttempts()
             && !attributes.isRetry()
             && !exchange.isResponseStarted()
             && context.retries().tryWithdraw();
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.link.ChangeCursor;
 import dev.cactusstack.link.LinkBody;
 import dev.cactusstack.link.LinkMessage;
@@ -143,7 +143,7 @@
     nextReadAtMs =
         now + (isReader() ? readIntervalMs : readIntervalMs * NON_READER_INTERVAL_FACTOR);
     store
-        .changesAfter(inForce.version())
+        .readChanges(inForce.version())
         .whenComplete((rows, t) -> loop.execute(() -> finishRead(rows, t)));
   }
 
@@ -156,7 +156,7 @@
           "%s",
           Event.named("table_service")
               .with("reachable", ok)
-              .with("reason", t == null ? "" : String.valueOf(HttpFailure.of(t).getMessage())));
+              .with("reason", t == null ? "" : String.valueOf(HttpException.from(t).getMessage())));
     }
     if (rows != null) {
       apply(rows, "table");
@@ -214,7 +214,7 @@
   }
 
   void sendPage(Address from, LinkBody.ChangesQuery q) {
-    LinkBody.ChangesPage page = q.after().page(inForce, MAX_ROWS_PER_PAGE);
+    LinkBody.ChangesPage page = q.cursor().readPage(inForce, MAX_ROWS_PER_PAGE);
     sender.send(from, new LinkMessage(members.self(), List.of(), page));
   }
 
@@ -224,10 +224,10 @@
       return;
     }
     ConfigurationTable rows = p.rows.merge(page.rows());
-    ChangeCursor last = ChangeCursor.lastOf(page.rows());
-    if (page.more() && last.compareTo(p.cursor) > 0) {
+    ChangeCursor last = ChangeCursor.ofLastRow(page.rows());
+    if (page.hasMore() && last.compareTo(p.cursor) > 0) {
       requestPage(from, last, rows);
-    } else if (!page.more()) {
+    } else if (!page.hasMore()) {
       pull = null;
       apply(rows, "host");
     }
--- a/host/src/main/java/dev/cactusstack/host/control/Controllers.java
+++ b/host/src/main/java/dev/cactusstack/host/control/Controllers.java
@@ -83,8 +83,8 @@
   }
 
   private void dispatch(Address from, LinkMessage m) {
-    if (m.body() instanceof LinkBody.Detection d) {
-      members.receive(from, d.probe(), m);
+    if (m.body() instanceof LinkBody.FailureDetection d) {
+      members.receive(from, d.message(), m);
     } else if (m.body() instanceof LinkBody.ChangesQuery q) {
       configuration.sendPage(from, q);
     } else if (m.body() instanceof LinkBody.ChangesPage p) {
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import dev.cactusstack.decisions.recovery.ChangePlan;
 import dev.cactusstack.host.observe.Event;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
@@ -84,12 +84,12 @@
     CompletableFuture<EditOutcome> readAndCommit(int attempt) {
       ConfigurationTable current = configuration.inForce();
       return store
-          .changesAfter(current.version())
+          .readChanges(current.version())
           .handle(
               (rows, t) ->
                   t == null
                       ? decide(current.merge(rows), attempt)
-                      : retryLater(attempt, HttpFailure.of(t)))
+                      : retryLater(attempt, HttpException.from(t)))
           .thenCompose(f -> f);
     }
 
@@ -129,7 +129,7 @@
               (o, t) ->
                   t == null
                       ? committed(c, base, o, attempt)
-                      : failed(c, HttpFailure.of(t), attempt))
+                      : failed(c, HttpException.from(t), attempt))
           .thenCompose(f -> f);
     }
 
@@ -145,23 +145,23 @@
         configuration.refresh();
         return done(new EditOutcome.Accepted(c.revision()));
       }
-      if (o instanceof CommitOutcome.Refused r && unconfirmedCommit == null) {
+      if (o instanceof CommitOutcome.Rejected r && unconfirmedCommit == null) {
         return done(notAccepted("the table service refused the edit: " + r.reason()));
       }
       return retryLater(
           attempt,
-          new HttpFailure(unconfirmedCommit != null, "another edit was committed meanwhile"));
+          new HttpException(unconfirmedCommit != null, "another edit was committed meanwhile"));
     }
 
     private CompletableFuture<EditOutcome> failed(
-        ChangePlan.Step.Commit c, HttpFailure f, int attempt) {
-      if (f.mayBeProcessed()) {
+        ChangePlan.Step.Commit c, HttpException f, int attempt) {
+      if (f.mayHaveBeenProcessed()) {
         unconfirmedCommit = c;
       }
       return retryLater(attempt, f);
     }
 
-    private CompletableFuture<EditOutcome> retryLater(int attempt, HttpFailure cause) {
+    private CompletableFuture<EditOutcome> retryLater(int attempt, HttpException cause) {
       if (attempt >= MAX_ATTEMPTS) {
         String reason = String.valueOf(cause.getMessage());
         return done(unconfirmedCommit != null ? unknown(reason) : notAccepted(reason));
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -128,7 +128,7 @@
     long fairIntervalMs = 1_000L * members.members().size() / MAX_HOST_LIST_READS_PER_SECOND;
     nextReadAtMs = now + Math.max(MIN_HOST_LIST_INTERVAL_MS, fairIntervalMs);
     hostList
-        .hostsAfter(revision)
+        .readHostChanges(revision)
         .whenComplete((changes, t) -> loop.execute(() -> finishRead(changes)));
   }
 
--- a/host/src/main/java/dev/cactusstack/host/operators/JsonResponses.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/JsonResponses.java
@@ -23,7 +23,7 @@
     x.setStatusCode(status);
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-store");
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(body)));
   }
 
   static void problem(HttpServerExchange x, Problem p) {
@@ -32,7 +32,7 @@
 
   static void outcome(HttpServerExchange x, EditOutcome o) {
     if (o instanceof EditOutcome.Accepted a) {
-      send(x, OK, Json.object().put("outcome", "accepted").put("version", a.version()));
+      send(x, OK, Json.newObject().put("outcome", "accepted").put("version", a.version()));
     } else if (o instanceof EditOutcome.Conflict c) {
       send(x, CONFLICT, conflictBody(c));
     } else if (o instanceof EditOutcome.NotAccepted n) {
@@ -45,14 +45,14 @@
   }
 
   private static ObjectNode problemFields(Problem p) {
-    return Json.object()
+    return Json.newObject()
         .put("kind", p.kind().label())
         .put("message", p.message())
         .put("remedy", p.remedy());
   }
 
   private static ObjectNode conflictBody(EditOutcome.Conflict c) {
-    ObjectNode n = Json.object().put("outcome", "conflict");
+    ObjectNode n = Json.newObject().put("outcome", "conflict");
     ArrayNode list = n.putArray("conflicts");
     c.rowConflicts()
         .forEach(
@@ -66,7 +66,7 @@
 
   static ObjectNode row(Route r) {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", r.key().service().value())
             .put("data_centre", r.key().dataCentre().value());
     for (RouteColumn c : RouteColumn.values()) {
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
@@ -7,7 +7,7 @@
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
-import dev.cactusstack.settings.OperatorsSettings;
+import dev.cactusstack.settings.OperatorListenerSettings;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.server.HttpHandler;
@@ -44,7 +44,7 @@
    * @param metrics the metrics that {@code /metrics} exposes
    */
   public OperatorsServer(
-      OperatorsSettings settings,
+      OperatorListenerSettings settings,
       Optional<SSLContext> tls,
       OperatorsView view,
       EditService edits,
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
@@ -52,7 +52,7 @@
 
   ObjectNode table() {
     ConfigurationTable t = configuration.inForce();
-    ObjectNode n = Json.object().put("version", t.version());
+    ObjectNode n = Json.newObject().put("version", t.version());
     ArrayNode rows = n.putArray("rows");
     t.routes().values().forEach(r -> rows.add(JsonResponses.row(r)));
     ArrayNode dataCentres = n.putArray("data_centres");
@@ -76,7 +76,7 @@
             .reduce(configuration.inForce().version(), Math::max);
     long upToDate = live.stream().filter(m -> m.info().configVersion() >= newestVersion).count();
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("version", newestVersion)
             .put("in_force", upToDate)
             .put("hosts_total", live.size())
@@ -93,7 +93,7 @@
   }
 
   private static ObjectNode hostFields(Member m) {
-    return Json.object()
+    return Json.newObject()
         .put("id", m.id().value())
         .put("data_centre", m.info().dataCentre().value())
         .put("status", m.info().leaving() ? "leaving" : m.status().label())
@@ -110,7 +110,7 @@
   }
 
   private ArrayNode ownedUpstreams() {
-    ArrayNode list = Json.object().putArray("upstreams");
+    ArrayNode list = Json.newObject().putArray("upstreams");
     RoutingView view = upstreams.view();
     for (Route r : configuration.inForce().routes().values()) {
       if (view.owner(r.key()).orElse(null) instanceof RouteOwner.Local l) {
--- a/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.settings.OperatorsSettings;
+import dev.cactusstack.settings.OperatorListenerSettings;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
@@ -36,7 +36,7 @@
               ProblemKind.NOT_AUTHORISED,
               "the request carries no valid operators' token",
               "set the variable "
-                  + OperatorsSettings.TOKEN_VARIABLE
+                  + OperatorListenerSettings.TOKEN_VARIABLE
                   + ", or enter the token on the page"));
       return;
     }
--- a/standin/src/main/java/dev/cactusstack/standin/TableState.java
+++ b/standin/src/main/java/dev/cactusstack/standin/TableState.java
@@ -50,7 +50,7 @@
   /** One row, or an empty object when there is none. */
   synchronized ObjectNode row(String key) {
     Row row = live(key);
-    ObjectNode n = Json.object();
+    ObjectNode n = Json.newObject();
     if (row != null) {
       n.put("key", key).put("version", row.version).set("value", row.value);
     }
@@ -58,7 +58,7 @@
   }
 
   synchronized ObjectNode changesAfter(long after) {
-    ObjectNode page = Json.object().put("revision", revision);
+    ObjectNode page = Json.newObject().put("revision", revision);
     ArrayNode list = page.putArray("rows");
     rows.forEach(
         (key, row) -> {
--- a/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
@@ -285,8 +285,8 @@
     }
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     byte[] body =
-        Json.bytes(
-            Json.object()
+        Json.toBytes(
+            Json.newObject()
                 .put("service", traits.service())
                 .put("data_centre", traits.dataCentre())
                 .put("upstream", address())
@@ -330,7 +330,7 @@
     x.getRequestReceiver()
         .receiveFullBytes(
             (ex, bytes) -> {
-              JsonNode n = Json.parse(bytes).orElse(Json.object());
+              JsonNode n = Json.parse(bytes).orElse(Json.newObject());
               if (n.path("cold").asBoolean()) {
                 turnCold();
               }
