--- a/bench/src/main/java/dev/cactusstack/bench/ConfigurationScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ConfigurationScenario.java
@@ -41,7 +41,7 @@
       two.join();
       running[0] = false;
       faults.join();
-      stage.site.platform().cause(PlatformFaults.NONE);
+      stage.site.platform().setFaults(PlatformFaults.NONE);
       watch.join();
       return ResultLine.of("configuration", o)
           .with("accepted", accepted.get())
@@ -124,7 +124,7 @@
       stage
           .site
           .platform()
-          .cause(
+          .setFaults(
               switch (random.nextInt(4)) {
                 case 0 -> new PlatformFaults(false, 0, 1);
                 case 1 -> new PlatformFaults(true, 0, 0);
--- a/bench/src/main/java/dev/cactusstack/bench/DataCentreMoveScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/DataCentreMoveScenario.java
@@ -29,7 +29,7 @@
       Background<Double> out = Background.start("out", () -> takeOut(stage, moved, there));
       Phase during = stage.load(o, BUSY_SHARE, seconds, o.seed() + 2);
       double newWork = out.join();
-      stage.site.platform().cause(PlatformFaults.NONE);
+      stage.site.platform().setFaults(PlatformFaults.NONE);
       there.forEach(UpstreamStandIn::turnCold);
       Background<Back> back = Background.start("in", () -> takeIn(stage, moved, there, perSecond));
       Phase returning = stage.load(o, BUSY_SHARE, seconds + MARGIN_SECONDS, o.seed() + 3);
@@ -61,7 +61,7 @@
     if (!e.isAccepted()) {
       throw new IllegalStateException(e.text());
     }
-    stage.site.platform().cause(new PlatformFaults(false, 0, 0, true));
+    stage.site.platform().setFaults(new PlatformFaults(false, 0, 0, true));
     return LastWork.secondsUntilQuiet(there);
   }
 
--- a/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
+++ b/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
@@ -27,9 +27,9 @@
       JsonNode n =
           Json.parse(bytes)
               .orElseThrow(() -> new IllegalArgumentException("the hosts file is not JSON"));
-      n.path("hosts").fields().forEachRemaining(e -> p.list(e.getKey(), (ObjectNode) e.getValue()));
+      n.path("hosts").fields().forEachRemaining(e -> p.registerHost(e.getKey(), (ObjectNode) e.getValue()));
       if (n.path("writes").isArray()) {
-        p.seed((ArrayNode) n.path("writes"));
+        p.writeRows((ArrayNode) n.path("writes"));
       }
     }
     System.out.println("event=ready platform=127.0.0.1:" + p.port());
--- a/embedded/src/main/java/dev/cactusstack/embedded/Site.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/Site.java
@@ -50,7 +50,7 @@
       var times = new Random(random.nextLong());
       upstreams.add(UpstreamStandIn.start(change.apply(t), 0, worker, runs, times, false));
     }
-    platform.seed(rows());
+    platform.writeRows(rows());
     upstreams.forEach(u -> list(u, false));
   }
 
@@ -111,7 +111,7 @@
    */
   public void list(UpstreamStandIn u, boolean leaving) {
     ObjectNode n = entry(ListedHost.Role.UPSTREAM, u.traits().dataCentre(), leaving);
-    platform.list(u.address(), n.put("service", u.traits().service()));
+    platform.registerHost(u.address(), n.put("service", u.traits().service()));
   }
 
   /**
@@ -121,7 +121,7 @@
    * @param dataCentre where it is
    */
   public void listEntryHost(String link, String dataCentre) {
-    platform.list(link, entry(ListedHost.Role.ENTRY, dataCentre, false));
+    platform.registerHost(link, entry(ListedHost.Role.ENTRY, dataCentre, false));
   }
 
   private static ObjectNode entry(ListedHost.Role role, String dataCentre, boolean leaving) {
--- a/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
@@ -68,7 +68,7 @@
   @Test
   void shouldStartFromAnotherHostWhenTheTableIsDown() throws Exception {
     assertThat(test.ctl(0, "table", "set", "search", "almaty-1", "weight=77").code()).isZero();
-    test.site.platform().cause(new PlatformFaults(false, 0, 0, true));
+    test.site.platform().setFaults(new PlatformFaults(false, 0, 0, true));
     var spec =
         new HostSpec(
             "late-host",
--- a/embedded/src/test/java/dev/cactusstack/embedded/KeyedRequestsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/KeyedRequestsTest.java
@@ -28,7 +28,7 @@
 
   @AfterEach
   void heal() {
-    test.site.platform().cause(PlatformFaults.NONE);
+    test.site.platform().setFaults(PlatformFaults.NONE);
     test.site.upstreams().forEach(u -> u.become(UpstreamCondition.HEALTHY));
   }
 
@@ -96,7 +96,7 @@
 
   @Test
   void shouldRunOnceWhenTheAnswerOfTheTableIsLost() throws Exception {
-    test.site.platform().cause(new PlatformFaults(false, 0, 1));
+    test.site.platform().setFaults(new PlatformFaults(false, 0, 1));
     assertThat(reserve(0, "delo-5", "/r")).startsWith("HTTP/1.1 200");
     assertThat(reserve(1, "delo-5", "/r")).startsWith("HTTP/1.1 409");
     assertThat(test.site.runs().count("delo-5")).isEqualTo(1);
@@ -104,7 +104,7 @@
 
   @Test
   void shouldSayNotRunWhenTheTableIsDown() throws Exception {
-    test.site.platform().cause(new PlatformFaults(true, 0, 0));
+    test.site.platform().setFaults(new PlatformFaults(true, 0, 0));
     assertThat(reserve(0, "delo-6", "/r"))
         .startsWith("HTTP/1.1 503")
         .contains("Cactusstack-Outcome: not-run");
--- a/embedded/src/test/java/dev/cactusstack/embedded/OperatorsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/OperatorsTest.java
@@ -30,7 +30,7 @@
 
   @AfterEach
   void heal() {
-    test.site.platform().cause(PlatformFaults.NONE);
+    test.site.platform().setFaults(PlatformFaults.NONE);
   }
 
   private static String version(Ended e) {
@@ -92,7 +92,7 @@
 
   @Test
   void shouldBeAcceptedOnceWhenTheAnswerOfTheTableIsLost() throws Exception {
-    test.site.platform().cause(new PlatformFaults(false, 0, 1));
+    test.site.platform().setFaults(new PlatformFaults(false, 0, 1));
     Ended e = test.ctl(0, "table", "set", "scans", "almaty-1", "limit=7");
     assertThat(e.text()).contains("outcome=accepted");
     eventually(
@@ -104,7 +104,7 @@
 
   @Test
   void shouldNotSayAcceptedWhenTheTableIsDown() {
-    test.site.platform().cause(new PlatformFaults(true, 0, 0));
+    test.site.platform().setFaults(new PlatformFaults(true, 0, 0));
     Ended e = test.ctl(0, "table", "set", "scans", "almaty-2", "limit=6");
     assertThat(e.code()).isEqualTo(4);
     assertThat(e.text()).contains("remedy=");
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
@@ -81,7 +81,7 @@
    *
    * @param next the faults from now on
    */
-  public synchronized void cause(PlatformFaults next) {
+  public synchronized void setFaults(PlatformFaults next) {
     faults = Objects.requireNonNull(next, "next is null");
   }
 
@@ -90,7 +90,7 @@
    *
    * @param writes a transaction's {@code writes}, each with {@code key} and {@code value}
    */
-  public void seed(ArrayNode writes) {
+  public void writeRows(ArrayNode writes) {
     ObjectNode t = Json.object();
     t.set("writes", writes);
     table.commit(t);
@@ -102,7 +102,7 @@
    * @param address the host's address
    * @param entry its fields
    */
-  public void list(String address, JsonNode entry) {
+  public void registerHost(String address, JsonNode entry) {
     hosts.put(address, (ObjectNode) entry);
   }
 
@@ -111,7 +111,7 @@
    *
    * @param address the host's address
    */
-  public void unlist(String address) {
+  public void deregisterHost(String address) {
     hosts.remove(address);
   }
 
@@ -201,9 +201,9 @@
 
   private void changeHost(HttpServerExchange x, String address) throws Exception {
     if (x.getRequestMethod().equalToString("DELETE")) {
-      unlist(address);
+      deregisterHost(address);
     } else {
-      list(address, body(x));
+      registerHost(address, body(x));
     }
     reply(x, 200, Json.object());
   }
@@ -225,7 +225,7 @@
 
   private void changeFaults(HttpServerExchange x) throws Exception {
     JsonNode n = body(x);
-    cause(
+    setFaults(
         new PlatformFaults(
             n.path("down").asBoolean(),
             n.path("slow_ms").asLong(),
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -62,7 +62,7 @@
         .put("weight", weight)
         .put("limit", 40)
         .put("upstream_limit", 4);
-    standIn.seed(writes);
+    standIn.writeRows(writes);
   }
 
   /** Causes a fault. */
@@ -72,11 +72,11 @@
       client = client(standIn.port(), SHORT);
     }
     switch (fault) {
-      case "down" -> standIn.cause(new PlatformFaults(true, 0, 0));
-      case "losing answers" -> standIn.cause(new PlatformFaults(false, 0, 1));
-      case "slow" -> standIn.cause(new PlatformFaults(false, SLOW_MS, 0));
+      case "down" -> standIn.setFaults(new PlatformFaults(true, 0, 0));
+      case "losing answers" -> standIn.setFaults(new PlatformFaults(false, 0, 1));
+      case "slow" -> standIn.setFaults(new PlatformFaults(false, SLOW_MS, 0));
       case "not listening" -> client = client(1, SHORT);
-      default -> standIn.cause(PlatformFaults.NONE);
+      default -> standIn.setFaults(PlatformFaults.NONE);
     }
   }
 
@@ -111,7 +111,7 @@
     if (report.contains("failure")) {
       Thread.sleep(2 * SLOW_MS);
     }
-    standIn.cause(PlatformFaults.NONE);
+    standIn.setFaults(PlatformFaults.NONE);
     ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).changesAfter(0).join();
     assertThat(t.route(KEY).orElseThrow().weight()).isEqualTo(weight);
   }
@@ -128,7 +128,7 @@
   @Given("a host list with {string} and {string}")
   public void hosts(String a, String b) {
     for (String address : List.of(a, b)) {
-      standIn.list(address, Json.object().put("role", "entry").put("data_centre", "almaty-1"));
+      standIn.registerHost(address, Json.object().put("role", "entry").put("data_centre", "almaty-1"));
     }
     HostChanges all = client.hostsAfter(0).join();
     known = all.applyTo(known);
@@ -139,7 +139,7 @@
   /** Removes a host. */
   @When("{string} is removed")
   public void remove(String address) {
-    standIn.unlist(address);
+    standIn.deregisterHost(address);
   }
 
   /** Reads from the start. */
