--- a/bench/src/main/java/dev/cactusstack/bench/Arrival.java
+++ b/bench/src/main/java/dev/cactusstack/bench/Arrival.java
@@ -3,8 +3,8 @@
 /**
  * One planned request. Immutable and thread-safe.
  *
- * @param atNanos when it is due, in nanoseconds from the start of the phase
+ * @param dueAfterNanos when to send it, in nanoseconds after the start of the phase
  * @param service the service it is for
  * @param caller a number that identifies the caller
  */
-record Arrival(long atNanos, String service, int caller) {}
+record Arrival(long dueAfterNanos, String service, int caller) {}
--- a/bench/src/main/java/dev/cactusstack/bench/BenchMain.java
+++ b/bench/src/main/java/dev/cactusstack/bench/BenchMain.java
@@ -18,7 +18,7 @@
   private BenchMain() {}
 
   /**
-   * Runs one experiment or one stand-in.
+   * Runs an experiment or a stand-in.
    *
    * @param args the command line
    * @throws Exception when the experiment cannot be run
@@ -37,7 +37,7 @@
     parser.accepts("slots").withRequiredArg().ofType(Integer.class).defaultsTo(4);
     parser.accepts("service-ms").withRequiredArg().ofType(Double.class).defaultsTo(40.0);
     parser.accepts("cold");
-    parser.accepts("verbose", "show the hosts' log");
+    parser.accepts("verbose", "show the logs of the hosts");
     parser.acceptsAll(List.of("help", "h")).forHelp();
     OptionSet o;
     try {
@@ -59,7 +59,7 @@
       case "list" -> list();
       case "platform" -> StandInCommands.platform(o);
       case "upstream" -> StandInCommands.upstream(o);
-      default -> scenario(name, o);
+      default -> runScenario(name, o);
     }
   }
 
@@ -67,11 +67,12 @@
     for (Scenarios s : Scenarios.values()) {
       System.out.println(s.label() + ": " + s.description());
     }
-    System.out.println("platform: one platform stand-in (--port N --hosts FILE)");
-    System.out.println("upstream: one upstream stand-in (--port N --service S --data-centre D)");
+    System.out.println("platform: runs a platform stand-in (--port N --hosts FILE)");
+    System.out.println(
+        "upstream: runs an upstream stand-in (--port N --service S --data-centre D)");
   }
 
-  private static void scenario(String name, OptionSet o) throws Exception {
+  private static void runScenario(String name, OptionSet o) throws Exception {
     Optional<Scenarios> s = Scenarios.ofLabel(name);
     Optional<Deployment> d = Deployment.ofName((String) o.valueOf("deployment"));
     int seconds = (Integer) o.valueOf("seconds");
@@ -85,7 +86,7 @@
       System.out.println(s.get().scenario().run(options));
       System.exit(0);
     } catch (RuntimeException e) {
-      // Threads of servers would keep the process alive.
+      // The servers' threads would keep the process alive.
       e.printStackTrace();
       System.exit(EXIT_FAILED);
     }
--- a/bench/src/main/java/dev/cactusstack/bench/BenchOptions.java
+++ b/bench/src/main/java/dev/cactusstack/bench/BenchOptions.java
@@ -6,10 +6,10 @@
 /**
  * The parameters of an experiment. Immutable and thread-safe.
  *
- * @param seed makes arrivals and faults repeatable
+ * @param seed seed of arrivals and faults, for repeatable runs
  * @param seconds length of each measured phase, in seconds
- * @param deployment which deployment is run
- * @param scale factor on the numbers of upstreams and hosts
+ * @param deployment the deployment to simulate
+ * @param scale factor applied to the numbers of upstreams and hosts
  */
 record BenchOptions(long seed, int seconds, Deployment deployment, int scale) {
   BenchOptions {
--- a/bench/src/main/java/dev/cactusstack/bench/CallResult.java
+++ b/bench/src/main/java/dev/cactusstack/bench/CallResult.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * What a caller saw of one call. Immutable and thread-safe.
+ * The result of a call as the caller observed it. Immutable and thread-safe.
  *
- * @param status the status code; 0 when no whole answer arrived
- * @param headers the answer's header fields by lower-case name
- * @param body the answer's content
+ * @param status the status code, or 0 when no complete response was received
+ * @param headers the response headers by lower-case name
+ * @param body the response body
  * @param sent whether any part of the request may have been sent
  */
 record CallResult(int status, Map<String, String> headers, byte[] body, boolean sent) {
--- a/bench/src/main/java/dev/cactusstack/bench/ColdStartScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ColdStartScenario.java
@@ -6,27 +6,27 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** Upstreams turn cold without a sign, one after another, under steady load. */
+/** Makes one upstream after another cold, without announcing it, under constant load. */
 final class ColdStartScenario implements Scenario {
-  private static final double BUSY_SHARE = 0.5;
+  private static final double UTILIZATION = 0.5;
   private static final int WARM_UP_SECONDS = 3;
   private static final long INTERVAL_MS = 500;
 
   @Override
   public ResultLine run(BenchOptions o) throws Exception {
-    try (var stage = new Stage(o, "")) {
-      stage.load(o, BUSY_SHARE, WARM_UP_SECONDS, o.seed());
+    try (var cluster = new BenchCluster(o, "")) {
+      cluster.runLoad(o, UTILIZATION, WARM_UP_SECONDS, o.seed());
       var random = new Random(o.seed());
-      Background<Integer> peaks =
-          Background.start("cold", () -> turnCold(stage, random, o.seconds()));
-      Phase phase = stage.load(o, BUSY_SHARE, o.seconds(), o.seed() + 1);
-      int peak = peaks.join();
+      BackgroundTask<Integer> coldPeak =
+          BackgroundTask.start("cold", () -> measureColdPeak(cluster, random, o.seconds()));
+      LoadPhase phase = cluster.runLoad(o, UTILIZATION, o.seconds(), o.seed() + 1);
+      int peak = coldPeak.join();
       long rejected =
-          stage.site.upstreams().stream().mapToLong(UpstreamStandIn::rejectedCold).sum();
-      int bears = stage.site.upstreams().get(0).traits().coldBears();
+          cluster.standIns.upstreams().stream().mapToLong(UpstreamStandIn::rejectedWhileCold).sum();
+      int limit = cluster.standIns.upstreams().get(0).spec().coldConcurrencyLimit();
       return ResultLine.of("cold-start", o)
           .with("cold_peak", peak)
-          .with("cold_bears", bears)
+          .with("cold_bears", limit)
           .with("cold_rejected", rejected)
           .with("failed", phase.failed())
           .with("requests", phase.completed())
@@ -35,22 +35,24 @@
   }
 
   /**
-   * The most requests accepted in flight at an upstream while it was cold. The requests that were
-   * in flight when it turned cold are left to end first, since nobody can know of the change
-   * before.
+   * Returns the highest number of requests in flight at a cold upstream. The requests in flight
+   * when the upstream became cold are awaited first, because hosts cannot have detected the change
+   * before then.
    */
-  private static int turnCold(Stage stage, Random random, int seconds) throws InterruptedException {
+  private static int measureColdPeak(BenchCluster cluster, Random random, int seconds)
+      throws InterruptedException {
     int peak = 0;
-    List<UpstreamStandIn> all = new ArrayList<>(stage.site.upstreams());
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds) - TimeUnit.SECONDS.toNanos(1);
-    while (System.nanoTime() < end) {
+    List<UpstreamStandIn> all = new ArrayList<>(cluster.standIns.upstreams());
+    long endNanos =
+        System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds) - TimeUnit.SECONDS.toNanos(1);
+    while (System.nanoTime() < endNanos) {
       UpstreamStandIn u = all.get(random.nextInt(all.size()));
-      u.turnCold();
-      long turned = System.nanoTime();
-      Stage.await(() -> u.inFlight() <= u.traits().coldBears(), INTERVAL_MS);
-      u.resetCounts();
+      u.makeCold();
+      long coldSinceNanos = System.nanoTime();
+      BenchCluster.await(() -> u.inFlight() <= u.spec().coldConcurrencyLimit(), INTERVAL_MS);
+      u.resetCounters();
       while (u.isCold()
-          && System.nanoTime() - turned < TimeUnit.MILLISECONDS.toNanos(INTERVAL_MS)) {
+          && System.nanoTime() - coldSinceNanos < TimeUnit.MILLISECONDS.toNanos(INTERVAL_MS)) {
         peak = Math.max(peak, u.inFlight());
         TimeUnit.MILLISECONDS.sleep(1);
       }
--- a/bench/src/main/java/dev/cactusstack/bench/LoadClient.java
+++ b/bench/src/main/java/dev/cactusstack/bench/LoadClient.java
@@ -32,7 +32,7 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** The callers of an experiment: sends requests and collects whole answers. Thread-safe. */
+/** HTTP client of the simulated callers, which collects complete responses. Thread-safe. */
 final class LoadClient implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
   private static final OptionMap OPTIONS =
@@ -44,9 +44,9 @@
   private final XnioWorker worker;
   private final DefaultByteBufferPool buffers =
       new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 8);
-  private final Map<XnioIoThread, Map<String, ArrayDeque<ClientConnection>>> idle;
+  private final Map<XnioIoThread, Map<String, ArrayDeque<ClientConnection>>> idleConnections;
   private final XnioIoThread[] threads;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger nextThread = new AtomicInteger();
   private final long timeoutMs;
 
   /** A request to send. Immutable. */
@@ -60,23 +60,23 @@
   LoadClient(int threadCount, long timeoutMs) {
     this.timeoutMs = timeoutMs;
     worker = Workers.daemon("callers", threadCount);
-    idle = new HashMap<>();
+    idleConnections = new HashMap<>();
     threads = new XnioIoThread[threadCount];
     for (int i = 0; i < threadCount; i++) {
-      threads[i] = distinctThread(i);
+      threads[i] = registerThread(i);
     }
   }
 
-  private XnioIoThread distinctThread(int n) {
+  private XnioIoThread registerThread(int n) {
     XnioIoThread t = worker.getIoThread(n);
-    idle.put(t, new HashMap<>());
+    idleConnections.put(t, new HashMap<>());
     return t;
   }
 
-  /** Sends a request; {@code done} is called once, on an I/O thread. */
-  void send(Call call, Consumer<CallResult> done) {
-    XnioIoThread t = threads[Math.floorMod(turn.getAndIncrement(), threads.length)];
-    t.execute(() -> new Run(t, call, done).start());
+  /** Sends a request; {@code onDone} is called once, on an I/O thread. */
+  void send(Call call, Consumer<CallResult> onDone) {
+    XnioIoThread t = threads[Math.floorMod(nextThread.getAndIncrement(), threads.length)];
+    t.execute(() -> new CallExecution(t, call, onDone).start());
   }
 
   @Override
@@ -84,30 +84,30 @@
     worker.shutdownNow();
   }
 
-  /** One call. Confined to its thread. */
-  private final class Run implements ClientCallback<ClientConnection> {
+  /** The execution of one call. Confined to its I/O thread. */
+  private final class CallExecution implements ClientCallback<ClientConnection> {
     private final XnioIoThread thread;
     private final Call call;
-    private final Consumer<CallResult> done;
+    private final Consumer<CallResult> onDone;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private XnioExecutor.@Nullable Key timer;
     private @Nullable ClientConnection connection;
     private boolean ended;
     private boolean sent;
 
-    Run(XnioIoThread thread, Call call, Consumer<CallResult> done) {
+    CallExecution(XnioIoThread thread, Call call, Consumer<CallResult> onDone) {
       this.thread = thread;
       this.call = call;
-      this.done = done;
+      this.onDone = onDone;
     }
 
     private ArrayDeque<ClientConnection> pool() {
-      return java.util.Objects.requireNonNull(idle.get(thread))
+      return java.util.Objects.requireNonNull(idleConnections.get(thread))
           .computeIfAbsent(call.address(), a -> new ArrayDeque<>());
     }
 
     void start() {
-      timer = thread.executeAfter(this::abandon, timeoutMs, TimeUnit.MILLISECONDS);
+      timer = thread.executeAfter(this::fail, timeoutMs, TimeUnit.MILLISECONDS);
       ArrayDeque<ClientConnection> pool = pool();
       for (ClientConnection c = pool.pollLast(); c != null; c = pool.pollLast()) {
         if (c.isOpen()) {
@@ -119,7 +119,7 @@
         UndertowClient.getInstance()
             .connect(this, URI.create("http://" + call.address()), thread, buffers, OPTIONS);
       } catch (RuntimeException e) {
-        abandon();
+        fail();
       }
     }
 
@@ -144,20 +144,20 @@
           new ClientCallback<>() {
             @Override
             public void completed(ClientExchange x) {
-              x.setResponseListener(answer());
+              x.setResponseListener(responseCallback());
               write(x.getRequestChannel(), ByteBuffer.wrap(call.body()));
             }
 
             @Override
             public void failed(IOException e) {
-              abandon();
+              fail();
             }
           });
     }
 
     @Override
     public void failed(IOException e) {
-      abandon();
+      fail();
     }
 
     private void write(StreamSinkChannel sink, ByteBuffer data) {
@@ -175,11 +175,11 @@
           sink.resumeWrites();
         }
       } catch (IOException e) {
-        abandon();
+        fail();
       }
     }
 
-    private ClientCallback<ClientExchange> answer() {
+    private ClientCallback<ClientExchange> responseCallback() {
       return new ClientCallback<>() {
         @Override
         public void completed(ClientExchange x) {
@@ -190,7 +190,7 @@
 
         @Override
         public void failed(IOException e) {
-          abandon();
+          fail();
         }
       };
     }
@@ -208,12 +208,12 @@
         }
         succeed(x);
       } catch (IOException e) {
-        abandon();
+        fail();
       }
     }
 
     private void succeed(ClientExchange x) {
-      if (!end()) {
+      if (!markEnded()) {
         return;
       }
       Map<String, String> headers = new HashMap<>();
@@ -224,23 +224,23 @@
                   headers.put(h.getHeaderName().toString().toLowerCase(Locale.ROOT), h.getFirst()));
       if (connection != null && connection.isOpen() && !"close".equals(headers.get("connection"))) {
         ClientConnection reusable = connection;
-        // The library is still handling this answer; the connection is free only after that.
+        // Undertow is still processing this response; the connection can be reused only afterwards.
         thread.execute(() -> pool().addLast(reusable));
       } else {
         IoUtils.safeClose(connection);
       }
-      done.accept(
+      onDone.accept(
           new CallResult(x.getResponse().getResponseCode(), headers, body.toByteArray(), true));
     }
 
-    private void abandon() {
-      if (end()) {
+    private void fail() {
+      if (markEnded()) {
         IoUtils.safeClose(connection);
-        done.accept(CallResult.none(sent));
+        onDone.accept(CallResult.none(sent));
       }
     }
 
-    private boolean end() {
+    private boolean markEnded() {
       boolean first = !ended;
       ended = true;
       if (timer != null) {
--- a/bench/src/main/java/dev/cactusstack/bench/Phase.java
+++ b/bench/src/main/java/dev/cactusstack/bench/LoadPhase.java
@@ -13,44 +13,49 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Plays a plan of arrivals, open loop: a request is sent when it is due, however late the others
- * are, and its time counts from when it was due. Thread-safe results.
+ * Executes planned arrivals as an open loop: each request is sent at its due time regardless of
+ * outstanding requests, and its latency is measured from the due time. The results are thread-safe.
  */
-final class Phase {
-  private static final long HIGHEST_MICROS = 120_000_000L;
-  private static final long SPIN_NANOS = 60_000;
+final class LoadPhase {
+  private static final long MAX_LATENCY_MICROS = 120_000_000L;
+  private static final long SPIN_THRESHOLD_NANOS = 60_000;
 
-  private final Histogram latency = new ConcurrentHistogram(HIGHEST_MICROS, 3);
-  private final Histogram added = new ConcurrentHistogram(HIGHEST_MICROS, 3);
+  private final Histogram latency = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
+  private final Histogram addedLatency = new ConcurrentHistogram(MAX_LATENCY_MICROS, 3);
   private final AtomicLong failed = new AtomicLong();
   private final AtomicLong completed = new AtomicLong();
-  private final Map<String, AtomicLong> kinds = new ConcurrentSkipListMap<>();
+  private final Map<String, AtomicLong> failuresByKind = new ConcurrentSkipListMap<>();
 
-  /** Plays the plan; requests due before {@code warmUpNanos} are sent but not counted. */
-  void play(
-      List<Arrival> plan, long warmUpNanos, Policy policy, BiConsumer<Arrival, CallResult> seen)
+  /** Executes the plan; requests due before {@code warmUpNanos} are sent but not counted. */
+  void execute(
+      List<Arrival> plan,
+      long warmUpNanos,
+      RequestPolicy policy,
+      BiConsumer<Arrival, CallResult> observer)
       throws InterruptedException {
-    var left = new CountDownLatch(plan.size());
+    var remaining = new CountDownLatch(plan.size());
     long start = System.nanoTime();
     for (Arrival a : plan) {
-      await(start + a.atNanos());
+      awaitDueTime(start + a.dueAfterNanos());
       policy.send(
           a,
           r -> {
-            if (a.atNanos() >= warmUpNanos) {
-              record(r, System.nanoTime() - start - a.atNanos());
+            if (a.dueAfterNanos() >= warmUpNanos) {
+              record(r, System.nanoTime() - start - a.dueAfterNanos());
             }
-            seen.accept(a, r);
-            left.countDown();
+            observer.accept(a, r);
+            remaining.countDown();
           });
     }
-    left.await(60, TimeUnit.SECONDS);
+    remaining.await(60, TimeUnit.SECONDS);
   }
 
-  private static void await(long dueNanos) {
-    for (long left = dueNanos - System.nanoTime(); left > 0; left = dueNanos - System.nanoTime()) {
-      if (left > SPIN_NANOS) {
-        LockSupport.parkNanos(left - SPIN_NANOS);
+  private static void awaitDueTime(long dueNanos) {
+    for (long remainingNanos = dueNanos - System.nanoTime();
+        remainingNanos > 0;
+        remainingNanos = dueNanos - System.nanoTime()) {
+      if (remainingNanos > SPIN_THRESHOLD_NANOS) {
+        LockSupport.parkNanos(remainingNanos - SPIN_THRESHOLD_NANOS);
       } else {
         Thread.onSpinWait();
       }
@@ -58,14 +63,14 @@
   }
 
   private void record(CallResult r, long nanos) {
-    long micros = Math.min(HIGHEST_MICROS, Math.max(1, nanos / 1_000));
+    long micros = Math.min(MAX_LATENCY_MICROS, Math.max(1, nanos / 1_000));
     completed.incrementAndGet();
     latency.recordValue(micros);
     if (r.isOk()) {
-      added.recordValue(Math.max(0, micros - Math.round(r.upstreamMs() * 1_000)));
+      addedLatency.recordValue(Math.max(0, micros - Math.round(r.upstreamMs() * 1_000)));
     } else {
       failed.incrementAndGet();
-      kinds.computeIfAbsent(kindOf(r), k -> new AtomicLong()).incrementAndGet();
+      failuresByKind.computeIfAbsent(kindOf(r), k -> new AtomicLong()).incrementAndGet();
     }
   }
 
@@ -86,7 +91,7 @@
   }
 
   double addedMs(double percentile) {
-    return added.getValueAtPercentile(percentile) / 1e3;
+    return addedLatency.getValueAtPercentile(percentile) / 1e3;
   }
 
   long failed() {
@@ -104,7 +109,7 @@
         "completed=%d failed=%d failures=%s p50_ms=%.2f p99_ms=%.2f p999_ms=%.2f",
         completed(),
         failed(),
-        kinds,
+        failuresByKind,
         latencyMs(50),
         latencyMs(99),
         latencyMs(99.9));
--- a/bench/src/main/java/dev/cactusstack/bench/ResultLine.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ResultLine.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * The last line of an experiment: {@code result scenario=... seed=... key=value ...}. Immutable.
+ * The result line of an experiment: {@code result scenario=... seed=... key=value ...}. Immutable.
  */
 final class ResultLine {
   private final String line;
--- a/bench/src/main/java/dev/cactusstack/bench/DesignSizeState.java
+++ b/bench/src/main/java/dev/cactusstack/bench/RoutingStateBenchmark.java
@@ -32,24 +32,26 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Runs one host's controllers over a table and a host list of a given size, without a network. */
-final class DesignSizeState {
+/**
+ * Runs the controllers of one host with a table and host list of a given size, without a network.
+ */
+final class RoutingStateBenchmark {
   private static final long READ_INTERVAL_MS = 100;
-  private static final long SETTLE_MS = 3_000;
+  private static final long WARM_UP_MS = 3_000;
   private static final double BYTES_PER_MB = 1 << 20;
 
-  private DesignSizeState() {}
+  private RoutingStateBenchmark() {}
 
-  /** What one size costs. */
+  /** The costs of the routing state of one size. */
   record Cost(
       int routes, double cpuMsPerChange, double heapMb, double bytesPerRow, double bytesPerHost) {}
 
-  static Cost measure(int services, int dataCentres, int servers, int seconds)
+  static Cost measure(int services, int dataCentres, int upstreamCount, int seconds)
       throws InterruptedException {
-    long heapBefore = usedHeap();
+    long heapBefore = usedHeapBytes();
     var loop = new ControlLoop("design-size", Ticker.SYSTEM);
     var store = new ChangingStore(table(services, dataCentres));
-    var hosts = hosts(services, dataCentres, servers);
+    var hosts = hosts(services, dataCentres, upstreamCount);
     var members = new MembershipController(self(), (to, m) -> {}, Ticker.SYSTEM, new Random(1));
     var configuration =
         new ConfigurationController(
@@ -67,25 +69,25 @@
     var rates = new RatesController(new ArrivalCounter(), members, Ticker.SYSTEM);
     var controllers = new Controllers(loop, members, configuration, upstreams, rates);
     loop.start();
-    TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-    long cpu = loopNanos();
+    TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
+    long cpuNanosBefore = loopCpuNanos();
     long version = controllers.configuration().inForce().version();
     TimeUnit.SECONDS.sleep(seconds);
     double changes = controllers.configuration().inForce().version() - version;
-    double cpuMs = (loopNanos() - cpu) / 1e6;
-    double heap = (usedHeap() - heapBefore) / BYTES_PER_MB;
+    double cpuMs = (loopCpuNanos() - cpuNanosBefore) / 1e6;
+    double heapMegabytes = (usedHeapBytes() - heapBefore) / BYTES_PER_MB;
     int routes = controllers.configuration().inForce().routes().size();
     loop.close();
-    return new Cost(routes, cpuMs / Math.max(1, changes), heap, rowBytes(), hostBytes());
+    return new Cost(routes, cpuMs / Math.max(1, changes), heapMegabytes, rowBytes(), hostBytes());
   }
 
-  private static long usedHeap() {
+  private static long usedHeapBytes() {
     System.gc();
     var r = Runtime.getRuntime();
     return r.totalMemory() - r.freeMemory();
   }
 
-  private static long loopNanos() {
+  private static long loopCpuNanos() {
     var beans = ManagementFactory.getThreadMXBean();
     long sum = 0;
     for (long id : beans.getAllThreadIds()) {
@@ -124,9 +126,9 @@
     return new ConfigurationTable(1, routes, rows);
   }
 
-  private static List<ListedHost> hosts(int services, int dataCentres, int servers) {
+  private static List<ListedHost> hosts(int services, int dataCentres, int upstreamCount) {
     var hosts = new ArrayList<ListedHost>();
-    for (int i = 0; i < servers; i++) {
+    for (int i = 0; i < upstreamCount; i++) {
       hosts.add(
           new ListedHost(
               ListedHost.Role.UPSTREAM,
@@ -138,7 +140,7 @@
     return hosts;
   }
 
-  /** The size of a row as the table service sends it. */
+  /** Returns the size of a row as the table service sends it. */
   private static double rowBytes() {
     return ("{\"key\":\"route/service-1000/centre-1\",\"version\":123456,\"value\":{\"operations\":"
             + "[\"00000000-0000-0000-0000-000000000000\"],\"weight\":20,\"limit\":40,"
@@ -146,14 +148,14 @@
         .length();
   }
 
-  /** The size of an entry as the host list sends it. */
+  /** Returns the size of an entry as the host list sends it. */
   private static double hostBytes() {
     return ("{\"address\":\"10.100.100.100:8080\",\"role\":\"upstream\",\"data_centre\":\"centre-1\","
             + "\"state\":\"live\",\"service\":\"service-1000\"},")
         .length();
   }
 
-  /** A table in which each read finds one row changed. Confined to the loop's reads. */
+  /** A table store in which every read returns one changed row. */
   private static final class ChangingStore implements TableStore {
     private final ConfigurationTable first;
     private long version = 1;
--- a/bench/src/main/java/dev/cactusstack/bench/Scenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/Scenario.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.bench;
 
-/** One experiment. An implementation is used for one run. */
+/** An experiment. Each instance is used for one run. */
 interface Scenario {
 
-  /** Runs the experiment and returns its last line. */
+  /** Runs the experiment and returns its result line. */
   ResultLine run(BenchOptions o) throws Exception;
 }
--- a/bench/src/main/java/dev/cactusstack/bench/Scenarios.java
+++ b/bench/src/main/java/dev/cactusstack/bench/Scenarios.java
@@ -5,15 +5,15 @@
 
 /** The experiments by name. Immutable and thread-safe. */
 enum Scenarios {
-  TAIL(new TailScenario(), "tail latency against three other policies"),
-  COLD_START(new ColdStartScenario(), "upstreams that turn cold under load"),
-  MEASURING(new MeasuringScenario(), "what control costs"),
+  TAIL(new TailLatencyScenario(), "tail latency against three other policies"),
+  COLD_START(new ColdStartScenario(), "upstreams that become cold under load"),
+  MEASURING(new ControlCostScenario(), "cost of the control plane"),
   AT_MOST_ONCE(new AtMostOnceScenario(), "non-idempotent requests under faults"),
-  SHUTDOWN(new ShutdownScenario(), "hosts and upstreams that leave in good order"),
-  DATA_CENTRE_MOVE(new DataCentreMoveScenario(), "a data centre out and back in"),
-  CONFIGURATION(new ConfigurationScenario(), "edits under faults of the table service"),
-  SLOPES(new SlopesScenario(), "the costs that docs/CAPACITY.md multiplies"),
-  SPEED(new SpeedScenario(), "time and processor time that one entry host adds");
+  SHUTDOWN(new ShutdownScenario(), "graceful shutdown of hosts and upstreams"),
+  DATA_CENTRE_MOVE(new DataCentreMoveScenario(), "evacuation and return of a data centre"),
+  CONFIGURATION(new ConfigurationScenario(), "edits during faults of the table service"),
+  SLOPES(new CapacityCostScenario(), "unit costs used by docs/CAPACITY.md"),
+  SPEED(new HostOverheadScenario(), "latency and CPU time added by one entry host");
 
   private final Scenario scenario;
   private final String description;
--- a/bench/src/main/java/dev/cactusstack/bench/SlowDowns.java
+++ b/bench/src/main/java/dev/cactusstack/bench/SlowdownInjector.java
@@ -10,10 +10,13 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Slows one upstream in five tenfold, another choice every two seconds. Confined to one thread. */
-final class SlowDowns implements AutoCloseable {
-  private static final int ONE_IN = 5;
-  private static final double FACTOR = 10;
+/**
+ * Slows down one in five upstreams by a factor of ten, and selects others every two seconds.
+ * Confined to one thread.
+ */
+final class SlowdownInjector implements AutoCloseable {
+  private static final int UPSTREAMS_PER_SLOWED = 5;
+  private static final double SLOWDOWN_FACTOR = 10;
   private static final long PERIOD_MS = 2_000;
 
   private final List<UpstreamStandIn> upstreams;
@@ -26,25 +29,25 @@
             return t;
           });
 
-  SlowDowns(List<UpstreamStandIn> upstreams, long seed) {
+  SlowdownInjector(List<UpstreamStandIn> upstreams, long seed) {
     this.upstreams = List.copyOf(upstreams);
     this.random = new Random(seed);
-    timer.scheduleAtFixedRate(this::change, 0, PERIOD_MS, TimeUnit.MILLISECONDS);
+    timer.scheduleAtFixedRate(this::slowRandomUpstreams, 0, PERIOD_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void change() {
-    var order = new ArrayList<>(upstreams);
-    Collections.shuffle(order, random);
-    int slowed = upstreams.size() / ONE_IN;
-    for (int i = 0; i < order.size(); i++) {
+  private void slowRandomUpstreams() {
+    var shuffled = new ArrayList<>(upstreams);
+    Collections.shuffle(shuffled, random);
+    int slowedCount = upstreams.size() / UPSTREAMS_PER_SLOWED;
+    for (int i = 0; i < shuffled.size(); i++) {
       UpstreamCondition c = UpstreamCondition.HEALTHY;
-      order.get(i).become(i < slowed ? c.slowedBy(FACTOR) : c);
+      shuffled.get(i).setCondition(i < slowedCount ? c.withSlowdown(SLOWDOWN_FACTOR) : c);
     }
   }
 
   @Override
   public void close() {
     timer.shutdownNow();
-    upstreams.forEach(u -> u.become(UpstreamCondition.HEALTHY));
+    upstreams.forEach(u -> u.setCondition(UpstreamCondition.HEALTHY));
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
+++ b/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
@@ -5,21 +5,24 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.http.Workers;
+import dev.cactusstack.standin.ExecutionCounter;
 import dev.cactusstack.standin.PlatformStandIn;
-import dev.cactusstack.standin.RunLog;
+import dev.cactusstack.standin.UpstreamSpec;
 import dev.cactusstack.standin.UpstreamStandIn;
-import dev.cactusstack.standin.UpstreamTraits;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Random;
 import joptsimple.OptionSet;
 import org.xnio.XnioWorker;
 
-/** Runs one stand-in by itself until it is stopped. Stateless. */
+/** Runs a single stand-in until the process is stopped. Stateless. */
 final class StandInCommands {
   private StandInCommands() {}
 
-  /** The hosts file is JSON: {@code {"hosts": {ADDRESS: ENTRY}, "writes": [{"key", "value"}]}}. */
+  /**
+   * Runs a platform stand-in; its hosts file is JSON: {@code {"hosts": {ADDRESS: ENTRY}, "writes":
+   * [{"key", "value"}]}}.
+   */
   static void platform(OptionSet o) throws Exception {
     PlatformStandIn p = PlatformStandIn.start((Integer) o.valueOf("port"));
     if (o.has("hosts")) {
@@ -27,7 +30,9 @@
       JsonNode n =
           Json.parse(bytes)
               .orElseThrow(() -> new IllegalArgumentException("the hosts file is not JSON"));
-      n.path("hosts").fields().forEachRemaining(e -> p.registerHost(e.getKey(), (ObjectNode) e.getValue()));
+      n.path("hosts")
+          .fields()
+          .forEachRemaining(e -> p.registerHost(e.getKey(), (ObjectNode) e.getValue()));
       if (n.path("writes").isArray()) {
         p.writeRows((ArrayNode) n.path("writes"));
       }
@@ -38,8 +43,8 @@
 
   static void upstream(OptionSet o) throws Exception {
     XnioWorker worker = Workers.daemon("upstream", 1);
-    var traits =
-        new UpstreamTraits(
+    var spec =
+        new UpstreamSpec(
             (String) o.valueOf("service"),
             (String) o.valueOf("data-centre"),
             (Integer) o.valueOf("slots"),
@@ -50,8 +55,13 @@
     var random = new Random((Long) o.valueOf("seed"));
     UpstreamStandIn u =
         UpstreamStandIn.start(
-            traits, (Integer) o.valueOf("port"), worker, new RunLog(), random, o.has("cold"));
-    System.out.println("event=ready upstream=" + u.address() + " service=" + traits.service());
+            spec,
+            (Integer) o.valueOf("port"),
+            worker,
+            new ExecutionCounter(),
+            random,
+            o.has("cold"));
+    System.out.println("event=ready upstream=" + u.address() + " service=" + spec.service());
     Thread.currentThread().join();
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/package-info.java
+++ b/bench/src/main/java/dev/cactusstack/bench/package-info.java
@@ -1,4 +1,4 @@
-/** Experiments on loopback: load, faults and measurements over stand-ins and real entry hosts. */
+/** Experiments on loopback that apply load and faults to entry hosts and stand-ins. */
 @NullMarked
 package dev.cactusstack.bench;
 
--- a/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedHosts.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedHosts.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** Entry hosts of a site in this process. Thread-safe. */
+/** Entry hosts that run in this process against stand-ins. Thread-safe. */
 public final class EmbeddedHosts implements AutoCloseable {
   private final List<EntryHost> hosts;
 
@@ -18,42 +18,42 @@
   }
 
   /**
-   * Starts entry hosts, spread evenly over the data centres of a site.
+   * Starts entry hosts, spread evenly over the data centres of the deployment.
    *
-   * @param site the site
-   * @param count how many hosts
-   * @param callersPort the first host's port for callers, 0 for any
-   * @param operatorsPort the first host's port for operators, 0 for any
-   * @param policy chooses among the upstreams of a route
+   * @param standIns the platform and upstream stand-ins
+   * @param count number of hosts
+   * @param callersPort the first host's port for callers, 0 for any free port
+   * @param operatorsPort the first host's port for operators, 0 for any free port
+   * @param policy selects an upstream of a route
    * @param environment environment variables
-   * @param extra further settings, as JSON members with a leading comma, or empty
+   * @param extraSettings additional settings, as JSON members with a leading comma, or empty
    * @return the running hosts
    */
   public static EmbeddedHosts start(
-      Site site,
+      StandInEnvironment standIns,
       int count,
       int callersPort,
       int operatorsPort,
       LoadBalancingPolicy policy,
       Map<String, String> environment,
-      String extra) {
-    Objects.requireNonNull(site, "site is null");
-    List<String> dataCentres = site.deployment().dataCentres();
+      String extraSettings) {
+    Objects.requireNonNull(standIns, "site is null");
+    List<String> dataCentres = standIns.deployment().dataCentres();
     var specs = new ArrayList<HostSpec>();
     for (int i = 0; i < count; i++) {
       String dataCentre = dataCentres.get(i % dataCentres.size());
-      boolean first = i == 0;
+      boolean isFirst = i == 0;
       specs.add(
           new HostSpec(
               dataCentre + "-host-" + (i / dataCentres.size() + 1),
               dataCentre,
-              first && callersPort > 0 ? callersPort : FreePorts.next(),
-              first && operatorsPort > 0 ? operatorsPort : FreePorts.next(),
+              isFirst && callersPort > 0 ? callersPort : FreePorts.next(),
+              isFirst && operatorsPort > 0 ? operatorsPort : FreePorts.next(),
               FreePorts.next(),
-              site.platform().port(),
-              extra));
+              standIns.platform().port(),
+              extraSettings));
     }
-    specs.forEach(s -> site.listEntryHost("127.0.0.1:" + s.linkPort(), s.dataCentre()));
+    specs.forEach(s -> standIns.registerEntryHost("127.0.0.1:" + s.linkPort(), s.dataCentre()));
     return new EmbeddedHosts(
         specs.stream()
             .map(
@@ -73,10 +73,10 @@
   }
 
   /**
-   * Waits until every host serves and knows all others.
+   * Waits until every host is ready and knows all other hosts.
    *
-   * @param timeoutMs the longest wait for each host
-   * @return false when one is not ready by then
+   * @param timeoutMs the maximum wait for each host, in milliseconds
+   * @return false when a host is not ready within the timeout
    * @throws InterruptedException when the waiting thread is interrupted
    */
   public boolean awaitReady(long timeoutMs) throws InterruptedException {
@@ -89,9 +89,9 @@
   }
 
   private boolean awaitMembers(EntryHost h, long timeoutMs) throws InterruptedException {
-    long end = Ticker.SYSTEM.millis() + timeoutMs;
+    long deadlineMs = Ticker.SYSTEM.millis() + timeoutMs;
     while (h.controllers().members().members().size() < hosts.size()) {
-      if (Ticker.SYSTEM.millis() > end) {
+      if (Ticker.SYSTEM.millis() > deadlineMs) {
         return false;
       }
       Thread.sleep(20);
--- a/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
@@ -18,7 +18,7 @@
   private static final int MAX_HOSTS = 64;
   private static final int MAX_PORT = 65_535;
   private static final long READY_TIMEOUT_MS = 15_000;
-  private static final long SEED = 1;
+  private static final long RANDOM_SEED = 1;
 
   private EmbeddedMain() {}
 
@@ -39,9 +39,9 @@
         return;
       }
       run(
-          number(options, "hosts", 1, MAX_HOSTS),
-          number(options, "callers-port", 0, MAX_PORT),
-          number(options, "operators-port", 0, MAX_PORT));
+          parseNumber(options, "hosts", 1, MAX_HOSTS),
+          parseNumber(options, "callers-port", 0, MAX_PORT),
+          parseNumber(options, "operators-port", 0, MAX_PORT));
     } catch (OptionException | IllegalArgumentException e) {
       System.err.println(
           Event.named("invalid_arguments")
@@ -51,7 +51,7 @@
     }
   }
 
-  private static int number(OptionSet options, String name, int min, int max) {
+  private static int parseNumber(OptionSet options, String name, int min, int max) {
     int n = (Integer) options.valueOf(name);
     if (n < min || n > max) {
       throw new IllegalArgumentException(
@@ -62,28 +62,28 @@
 
   private static void run(int count, int callersPort, int operatorsPort)
       throws InterruptedException {
-    Site site = Site.start(Deployment.QAZYNA, 1, SEED);
-    EmbeddedHosts embedded =
+    StandInEnvironment standIns = StandInEnvironment.start(Deployment.QAZYNA, 1, RANDOM_SEED);
+    EmbeddedHosts entryHosts =
         EmbeddedHosts.start(
-            site,
+            standIns,
             count,
             callersPort,
             operatorsPort,
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             System.getenv(),
             "");
-    ShutdownSignals.install(embedded.hosts());
-    boolean ready = embedded.awaitReady(READY_TIMEOUT_MS);
-    EntryHost first = embedded.hosts().get(0);
+    ShutdownSignals.install(entryHosts.hosts());
+    boolean ready = entryHosts.awaitReady(READY_TIMEOUT_MS);
+    EntryHost first = entryHosts.hosts().get(0);
     System.out.println(
         Event.named(ready ? "ready" : "not_ready")
             .with("callers", first.callersAddress())
             .with("operators", first.operatorsAddress())
             .with("hosts", count)
-            .with("platform", "127.0.0.1:" + site.platform().port())
+            .with("platform", "127.0.0.1:" + standIns.platform().port())
             .with(
                 "all_callers",
-                embedded.hosts().stream()
+                entryHosts.hosts().stream()
                     .map(h -> h.callersAddress().toString())
                     .collect(Collectors.joining(","))));
     Thread.currentThread().join();
--- a/embedded/src/main/java/dev/cactusstack/embedded/FreePorts.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/FreePorts.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Finds unused ports on loopback, below the range that the system gives to outgoing connections, so
- * that a port found stays free until it is bound. Thread-safe.
+ * Finds unused ports on loopback, below the operating system's ephemeral port range, so that no
+ * outgoing connection takes a returned port before it is bound. Thread-safe.
  */
 public final class FreePorts {
-  private static final int LOWEST = 10_000;
-  private static final int COUNT = 20_000;
+  private static final int FIRST_PORT = 10_000;
+  private static final int PORT_COUNT = 20_000;
 
-  /** Processes start at different places, so that they seldom try the same port. */
-  private static final AtomicInteger NEXT =
-      new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
+  /** The start depends on the process id, so that concurrent processes seldom try the same port. */
+  private static final AtomicInteger NEXT_OFFSET =
+      new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORT_COUNT));
 
   private FreePorts() {}
 
@@ -26,13 +26,13 @@
    * @return the port number
    */
   public static int next() {
-    for (int i = 0; i < COUNT; i++) {
-      int port = LOWEST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+    for (int i = 0; i < PORT_COUNT; i++) {
+      int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
       if (isFree(port)) {
         return port;
       }
     }
-    throw new IllegalStateException("no port is free on loopback; stop other processes");
+    throw new IllegalStateException("no free port on loopback; stop other processes");
   }
 
   private static boolean isFree(int port) {
--- a/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
@@ -8,13 +8,13 @@
 /**
  * The settings of an entry host on loopback. Immutable and thread-safe.
  *
- * @param id the host's identity
- * @param dataCentre where it is
- * @param callersPort its port for callers
- * @param operatorsPort its port for operators
- * @param linkPort its port for other hosts
- * @param platformPort the platform stand-in's port
- * @param extra further settings, as JSON members with a leading comma, or empty
+ * @param id the host's id
+ * @param dataCentre the data centre it is in
+ * @param callersPort the port for callers
+ * @param operatorsPort the port for operators
+ * @param linkPort the port for other hosts
+ * @param platformPort the port of the platform stand-in
+ * @param extraSettings additional settings, as JSON members with a leading comma, or empty
  */
 public record HostSpec(
     String id,
@@ -23,23 +23,23 @@
     int operatorsPort,
     int linkPort,
     int platformPort,
-    String extra) {
-  /** For stand-ins on loopback only; a deployment has its own. */
+    String extraSettings) {
+  /** Used on loopback only; a deployment configures its own secret. */
   private static final String LOOPBACK_SECRET = "6361637475732d6c6f6f706261636b2d6f6e6c79";
 
-  /** Checks the texts. */
+  /** Checks that the texts are present. */
   public HostSpec {
     Objects.requireNonNull(id, "id is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
-    Objects.requireNonNull(extra, "extra is null");
+    Objects.requireNonNull(extraSettings, "extra is null");
   }
 
   /**
-   * Renders a settings file.
+   * Returns the content of the settings file.
    *
-   * @return JSON
+   * @return the settings as JSON
    */
-  public String json() {
+  public String toJson() {
     return """
         {
           "host": {"id": "%s", "data_centre": "%s"},
@@ -57,17 +57,17 @@
             linkPort,
             LOOPBACK_SECRET,
             platformPort,
-            extra);
+            extraSettings);
   }
 
   /**
-   * Checks the settings file.
+   * Parses and checks the settings.
    *
    * @param environment environment variables
    * @return the settings
    */
   public HostSettings settings(Map<String, String> environment) {
-    CheckedSettings checked = HostSettings.parse(json(), environment);
+    CheckedSettings checked = HostSettings.parse(toJson(), environment);
     if (checked instanceof CheckedSettings.Valid v) {
       return v.settings();
     }
--- a/embedded/src/main/java/dev/cactusstack/embedded/package-info.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/package-info.java
@@ -1,4 +1,4 @@
-/** The whole path in one process: the platform stand-in, upstream stand-ins and entry hosts. */
+/** Runs the platform stand-in, upstream stand-ins and entry hosts in one process. */
 @NullMarked
 package dev.cactusstack.embedded;
 
--- a/embedded/src/test/java/dev/cactusstack/embedded/CallersPortTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/CallersPortTest.java
@@ -14,35 +14,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The callers' port over real connections: good, bad and cut-off input and answers. */
+/** Tests the callers' port over TCP with valid, malformed and truncated requests and responses. */
 class CallersPortTest {
-  private static TestSite test;
+  private static TestCluster cluster;
 
   @BeforeAll
   static void start() throws InterruptedException {
-    test = new TestSite(1);
+    cluster = new TestCluster(1);
   }
 
   @AfterAll
   static void stop() {
-    test.close();
+    cluster.close();
   }
 
   @AfterEach
-  void heal() {
-    test.site.upstreams().forEach(u -> u.become(UpstreamCondition.HEALTHY));
+  void clearFaults() {
+    cluster.standIns.upstreams().forEach(u -> u.setCondition(UpstreamCondition.HEALTHY));
   }
 
-  private static void all(UpstreamCondition c) {
-    test.site.upstreams().forEach(u -> u.become(c));
+  private static void setConditionOfAll(UpstreamCondition c) {
+    cluster.standIns.upstreams().forEach(u -> u.setCondition(c));
   }
 
   @Test
-  void shouldAnswerFromAnUpstreamWhenTheHostNamesAService() throws IOException {
-    assertThat(test.call(0, "search"))
+  void shouldForwardToAnUpstreamWhenTheHostHeaderNamesAService() throws IOException {
+    assertThat(cluster.call(0, "search"))
         .startsWith("HTTP/1.1 200")
         .contains("\"service\":\"search\"");
-    assertThat(test.call(0, "booking.example.org:80")).contains("\"service\":\"booking\"");
+    assertThat(cluster.call(0, "booking.example.org:80")).contains("\"service\":\"booking\"");
   }
 
   @ParameterizedTest
@@ -61,36 +61,42 @@
         "two hosts           | GET / HTTP/1.1^Host: search^Host: booking^^",
         "no host             | GET / HTTP/1.1^X: y^^"
       })
-  void shouldRefuseWhenARequestCanBeReadInTwoWays(String name, String request) throws IOException {
-    long before = test.site.upstreams().stream().mapToLong(UpstreamStandIn::ran).sum();
-    String answer = test.raw(0, request.replace("^", "\r\n").replace('~', '\u0001'));
+  void shouldRejectARequestWhenItsFramingIsAmbiguous(String name, String request)
+      throws IOException {
+    long before =
+        cluster.standIns.upstreams().stream().mapToLong(UpstreamStandIn::executedRequests).sum();
+    String answer = cluster.sendRaw(0, request.replace("^", "\r\n").replace('~', '\u0001'));
     assertThat(answer).doesNotContain("HTTP/1.1 200");
-    assertThat(test.site.upstreams().stream().mapToLong(UpstreamStandIn::ran).sum())
+    assertThat(
+            cluster.standIns.upstreams().stream()
+                .mapToLong(UpstreamStandIn::executedRequests)
+                .sum())
         .isEqualTo(before);
-    assertThat(test.call(0, "search")).startsWith("HTTP/1.1 200");
+    assertThat(cluster.call(0, "search")).startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void shouldNotPassABadChunkOffAsABody() throws IOException {
+  void shouldNotReturnSuccessWhenAChunkIsMalformed() throws IOException {
     String answer =
-        test.raw(
+        cluster.sendRaw(
             0,
             "POST / HTTP/1.1\r\nHost: search\r\nTransfer-Encoding: chunked\r\n\r\n",
             "3\r\nabc\r\nZZ\r\n");
     assertThat(answer).doesNotContain("HTTP/1.1 200");
-    assertThat(test.call(0, "search")).startsWith("HTTP/1.1 200");
+    assertThat(cluster.call(0, "search")).startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void shouldNameTheRemedyWhenHeadersAreTooLarge() throws IOException {
+  void shouldNameTheSettingWhenHeadersAreTooLarge() throws IOException {
     String answer =
-        test.raw(0, "GET / HTTP/1.1\r\nHost: search\r\nX: " + "a".repeat(20_000) + "\r\n\r\n");
+        cluster.sendRaw(
+            0, "GET / HTTP/1.1\r\nHost: search\r\nX: " + "a".repeat(20_000) + "\r\n\r\n");
     assertThat(answer).startsWith("HTTP/1.1 431").contains("callers.max_header_bytes");
   }
 
   @Test
-  void shouldSayNotRunWhenTheServiceIsUnknown() throws IOException {
-    assertThat(test.call(0, "nope"))
+  void shouldReportNotRunWhenTheServiceIsUnknown() throws IOException {
+    assertThat(cluster.call(0, "nope"))
         .startsWith("HTTP/1.1 404")
         .contains("Cactusstack-Outcome: not-run")
         .contains("application/problem+json")
@@ -99,75 +105,78 @@
   }
 
   @Test
-  void shouldServeOthersWhenARequestIsHalfSent() throws IOException {
-    test.raw(0, "POST / HTTP/1.1\r\nHost: search\r\nContent-Length: 100\r\n\r\nhalf");
-    assertThat(test.call(0, "search")).startsWith("HTTP/1.1 200");
+  void shouldServeOtherRequestsWhenOneRequestIsIncomplete() throws IOException {
+    cluster.sendRaw(0, "POST / HTTP/1.1\r\nHost: search\r\nContent-Length: 100\r\n\r\nhalf");
+    assertThat(cluster.call(0, "search")).startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void shouldNeverPassACutAnswerOffAsWhole() throws IOException {
-    all(new UpstreamCondition(1, false, false, false, false, true, false));
-    String answer = test.call(0, "booking");
+  void shouldNotReturnACompleteResponseWhenTheUpstreamTruncatesIt() throws IOException {
+    setConditionOfAll(new UpstreamCondition(1, false, false, false, false, true, false));
+    String answer = cluster.call(0, "booking");
     assertThat(answer.startsWith("HTTP/1.1 200") && answer.endsWith("}")).isFalse();
   }
 
   @Test
-  void shouldEndACallWhenAnUpstreamGoesSilentInsideAnAnswer() throws IOException {
-    all(UpstreamCondition.HEALTHY.stalling());
-    String answer = test.call(0, "scans");
+  void shouldEndACallWhenTheUpstreamStallsDuringItsResponse() throws IOException {
+    setConditionOfAll(UpstreamCondition.HEALTHY.withStalledResponses());
+    String answer = cluster.call(0, "scans");
     assertThat(answer.startsWith("HTTP/1.1 200") && answer.endsWith("}")).isFalse();
   }
 
   @Test
-  void shouldSayNotRunWhenEveryUpstreamRefuses() throws IOException {
-    all(new UpstreamCondition(1, false, true, false, false, false, false));
+  void shouldReportNotRunWhenEveryUpstreamRejectsTheRequest() throws IOException {
+    setConditionOfAll(new UpstreamCondition(1, false, true, false, false, false, false));
     String answer =
-        test.raw(
+        cluster.sendRaw(
             0,
             "POST /x HTTP/1.1\r\nHost: scans\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc");
     assertThat(answer).startsWith("HTTP/1.1 503").contains("Cactusstack-Outcome: not-run");
   }
 
   @Test
-  void shouldSayUnknownAndRunOnceWhenAnUpstreamIsSilent() throws Exception {
-    all(new UpstreamCondition(1, false, false, false, true, false, false));
+  void shouldReportUnknownAndRunOnceWhenTheUpstreamNeverResponds() throws Exception {
+    setConditionOfAll(new UpstreamCondition(1, false, false, false, true, false, false));
     String answer =
-        test.raw(
+        cluster.sendRaw(
             0,
             "POST /x HTTP/1.1\r\nHost: scans\r\nX-Request-Id: silent-1\r\nConnection: close\r\n"
                 + "Content-Length: 3\r\n\r\nabc");
     assertThat(answer).startsWith("HTTP/1.1 504").contains("Cactusstack-Outcome: unknown");
-    assertThat(test.site.runs().count("silent-1")).isEqualTo(1);
+    assertThat(cluster.standIns.executionCounter().count("silent-1")).isEqualTo(1);
   }
 
   @Test
-  void shouldPassOnAShrunkDeadlineAndGiveUpWhenItHasPassed() throws IOException {
+  void shouldForwardTheRemainingDeadlineAndRejectWhenItHasPassed() throws IOException {
     String head =
         "GET /x HTTP/1.1\r\nHost: search\r\nConnection: close\r\nCactusstack-Deadline-Ms: ";
-    String answer = test.raw(0, head + "2500\r\n\r\n");
-    int left = Integer.parseInt(answer.replaceAll("(?s).*\"deadline_ms\":\"(\\d+)\".*", "$1"));
-    assertThat(left).isBetween(1, 2_500);
-    assertThat(test.raw(0, head + "0\r\n\r\n")).contains("deadline-passed").contains("not-run");
+    String answer = cluster.sendRaw(0, head + "2500\r\n\r\n");
+    int remainingMs =
+        Integer.parseInt(answer.replaceAll("(?s).*\"deadline_ms\":\"(\\d+)\".*", "$1"));
+    assertThat(remainingMs).isBetween(1, 2_500);
+    assertThat(cluster.sendRaw(0, head + "0\r\n\r\n"))
+        .contains("deadline-passed")
+        .contains("not-run");
   }
 
   @Test
-  void shouldTryOnceWhenTheRequestIsMarkedAsRepeated() throws IOException {
-    all(new UpstreamCondition(1, false, false, false, true, false, false));
+  void shouldMakeOneAttemptWhenTheRequestIsMarkedAsARetry() throws IOException {
+    setConditionOfAll(new UpstreamCondition(1, false, false, false, true, false, false));
     String head = "GET /x HTTP/1.1\r\nHost: booking\r\nConnection: close\r\nX-Request-Id: ";
-    assertThat(test.raw(0, head + "first-1\r\n\r\n")).contains("unknown");
-    assertThat(test.raw(0, head + "repeated-1\r\nCactusstack-Retry: 1\r\n\r\n"))
+    assertThat(cluster.sendRaw(0, head + "first-1\r\n\r\n")).contains("unknown");
+    assertThat(cluster.sendRaw(0, head + "repeated-1\r\nCactusstack-Retry: 1\r\n\r\n"))
         .contains("unknown");
-    assertThat(test.site.runs().count("first-1")).isGreaterThan(1);
-    assertThat(test.site.runs().count("repeated-1")).isEqualTo(1);
-    heal();
-    assertThat(test.raw(0, head + "repeated-2\r\nCactusstack-Retry: 1\r\n\r\n"))
+    assertThat(cluster.standIns.executionCounter().count("first-1")).isGreaterThan(1);
+    assertThat(cluster.standIns.executionCounter().count("repeated-1")).isEqualTo(1);
+    clearFaults();
+    assertThat(cluster.sendRaw(0, head + "repeated-2\r\nCactusstack-Retry: 1\r\n\r\n"))
         .contains("\"retry\":true");
   }
 
   @Test
-  void shouldRemoveHopByHopFieldsAndTheSystemsOwn() throws IOException {
+  void shouldRemoveHopByHopAndSystemHeadersWhenForwarding() throws IOException {
     String answer =
-        test.raw(
+        cluster.sendRaw(
             0,
             "GET /x HTTP/1.1\r\nHost: search\r\nConnection: close, X-Private\r\nX-Private: 1\r\n"
                 + "Cactusstack-Forwarded: a-1 1 1 00\r\nCactusstack-Data-Centre: almaty-2\r\n\r\n");
@@ -177,37 +186,41 @@
   @Test
   void shouldStreamBothWaysWhenBodiesAreLarge() throws Exception {
     long size = 200L << 20;
-    assertThat(test.largeDownload("scans", size)).isEqualTo(size);
-    assertThat(test.largeUpload("scans", size)).contains("\"body_bytes\":" + size);
+    assertThat(cluster.largeDownload("scans", size)).isEqualTo(size);
+    assertThat(cluster.largeUpload("scans", size)).contains("\"body_bytes\":" + size);
   }
 
   @Test
-  void shouldReuseUpstreamConnectionsWhenRequestsFollowEachOther() throws Exception {
+  void shouldReuseUpstreamConnectionsWhenRequestsAreSequential() throws Exception {
     for (int i = 0; i < 50; i++) {
-      test.call(0, "search");
+      cluster.call(0, "search");
     }
-    double before = test.metric(0, "cactusstack_upstream_connections_opened");
+    double before = cluster.metric(0, "cactusstack_upstream_connections_opened");
     for (int i = 0; i < 400; i++) {
-      test.call(0, "search");
+      cluster.call(0, "search");
     }
-    assertThat(test.metric(0, "cactusstack_upstream_connections_opened") - before).isLessThan(100);
+    assertThat(cluster.metric(0, "cactusstack_upstream_connections_opened") - before)
+        .isLessThan(100);
   }
 
   @Test
-  void shouldKeepServingWhenRequestsAreRandomBytes() throws IOException {
+  void shouldKeepServingWhenRequestsAreCorrupted() throws IOException {
     var random = new Random(77);
-    String good = "POST /a?b=c HTTP/1.1\r\nHost: search\r\nContent-Length: 3\r\nX: y\r\n\r\nabc";
+    String validRequest =
+        "POST /a?b=c HTTP/1.1\r\nHost: search\r\nContent-Length: 3\r\nX: y\r\n\r\nabc";
     var served = new AtomicInteger();
     for (int i = 0; i < 300; i++) {
-      var b = new StringBuilder(good);
+      var corrupted = new StringBuilder(validRequest);
       for (int k = 0; k <= random.nextInt(3); k++) {
-        b.setCharAt(random.nextInt(b.length()), (char) random.nextInt(256));
+        corrupted.setCharAt(random.nextInt(corrupted.length()), (char) random.nextInt(256));
       }
-      if (test.raw(0, b.substring(0, random.nextInt(b.length() + 1))).startsWith("HTTP/1.1 200")) {
+      if (cluster
+          .sendRaw(0, corrupted.substring(0, random.nextInt(corrupted.length() + 1)))
+          .startsWith("HTTP/1.1 200")) {
         served.incrementAndGet();
       }
     }
-    assertThat(test.call(0, "search")).startsWith("HTTP/1.1 200");
+    assertThat(cluster.call(0, "search")).startsWith("HTTP/1.1 200");
     assertThat(served.get()).isLessThan(300);
   }
 }
--- a/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.embedded;
 
-import static dev.cactusstack.embedded.TestSite.eventually;
+import static dev.cactusstack.embedded.TestCluster.eventually;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
@@ -15,60 +15,63 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Hosts and upstreams that leave, crash and start while requests go on. */
+/** Tests hosts and upstreams that shut down, crash and start while requests are served. */
 class HostFaultsTest {
-  private TestSite test;
+  private TestCluster cluster;
 
   @BeforeEach
   void start() throws InterruptedException {
-    test = new TestSite(4);
+    cluster = new TestCluster(4);
   }
 
   @AfterEach
   void stop() {
-    test.close();
+    cluster.close();
   }
 
   private String entries() throws Exception {
-    return test.raw(
+    return cluster.sendRaw(
         0,
         "GET /.well-known/cactusstack/entries?service=search HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
   }
 
   @Test
-  void shouldServeAndLeaveItOutOfLookUpsWhenAHostCrashes() throws Exception {
-    String gone = test.host(1).callersAddress().toString();
-    assertThat(entries()).contains(gone).contains("\"ttl_ms\":5000").contains("max-age=5");
-    test.host(1).close();
-    eventually(() -> !entries().contains(gone));
-    eventually(() -> test.call(0, "search").startsWith("HTTP/1.1 200"));
+  void shouldKeepServingAndExcludeTheHostFromLookupsWhenItCrashes() throws Exception {
+    String crashedAddress = cluster.host(1).callersAddress().toString();
+    assertThat(entries())
+        .contains(crashedAddress)
+        .contains("\"ttl_ms\":5000")
+        .contains("max-age=5");
+    cluster.host(1).close();
+    eventually(() -> !entries().contains(crashedAddress));
+    eventually(() -> cluster.call(0, "search").startsWith("HTTP/1.1 200"));
     for (int i = 0; i < 30; i++) {
-      assertThat(test.call(0, "booking")).startsWith("HTTP/1.1 200");
+      assertThat(cluster.call(0, "booking")).startsWith("HTTP/1.1 200");
     }
   }
 
   @Test
-  void shouldFinishRequestsInFlightWhenAHostLeaves() throws Exception {
+  void shouldCompleteRequestsInFlightWhenAHostShutsDownGracefully() throws Exception {
     CompletableFuture<String> slow =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                return test.slowUpload(2, "booking");
+                return cluster.slowUpload(2, "booking");
               } catch (Exception e) {
                 return e.toString();
               }
             });
-    eventually(() -> test.host(2).inFlight() > 0);
-    int cutOff = test.host(2).leave();
+    eventually(() -> cluster.host(2).inFlight() > 0);
+    int cutOff = cluster.host(2).leave();
     assertThat(cutOff).isZero();
     assertThat(slow.get()).startsWith("HTTP/1.1 200");
-    assertThat(entries()).doesNotContain(test.host(2).callersAddress().toString());
+    assertThat(entries()).doesNotContain(cluster.host(2).callersAddress().toString());
   }
 
   @Test
-  void shouldStartFromAnotherHostWhenTheTableIsDown() throws Exception {
-    assertThat(test.ctl(0, "table", "set", "search", "almaty-1", "weight=77").code()).isZero();
-    test.site.platform().setFaults(new PlatformFaults(false, 0, 0, true));
+  void shouldLoadTheConfigurationFromAnotherHostWhenTheTableServiceIsDown() throws Exception {
+    assertThat(cluster.ctl(0, "table", "set", "search", "almaty-1", "weight=77").code()).isZero();
+    cluster.standIns.platform().setFaults(new PlatformFaults(false, 0, 0, true));
     var spec =
         new HostSpec(
             "late-host",
@@ -76,34 +79,34 @@
             FreePorts.next(),
             FreePorts.next(),
             FreePorts.next(),
-            test.site.platform().port(),
+            cluster.standIns.platform().port(),
             "");
-    EntryHost late =
+    EntryHost newHost =
         EntryHost.start(
             spec.settings(Map.of()),
             Ticker.SYSTEM,
             InstantSource.system(),
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     try {
-      eventually(() -> late.controllers().configuration().inForce().version() >= 2);
-      assertThat(late.controllers().configuration().isStoreReachable()).isFalse();
+      eventually(() -> newHost.controllers().configuration().inForce().version() >= 2);
+      assertThat(newHost.controllers().configuration().isStoreReachable()).isFalse();
     } finally {
-      late.close();
+      newHost.close();
     }
   }
 
   @Test
-  void shouldSayThatItHasNoConfigurationWhenItStartsFromNothing() throws Exception {
+  void shouldReportNoConfigurationWhenNeitherPlatformNorPeersAreReachable() throws Exception {
     var spec =
         new HostSpec(
             "lone-host", "almaty-1", FreePorts.next(), FreePorts.next(), FreePorts.next(), 1, "");
-    EntryHost lone =
+    EntryHost isolatedHost =
         EntryHost.start(
             spec.settings(Map.of()),
             Ticker.SYSTEM,
             InstantSource.system(),
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
-    try (var socket = new java.net.Socket("127.0.0.1", lone.callersAddress().port())) {
+    try (var socket = new java.net.Socket("127.0.0.1", isolatedHost.callersAddress().port())) {
       socket
           .getOutputStream()
           .write("GET / HTTP/1.1\r\nHost: search\r\nConnection: close\r\n\r\n".getBytes());
@@ -112,33 +115,33 @@
           .contains("no-configuration")
           .contains("not-run");
     } finally {
-      lone.close();
+      isolatedHost.close();
     }
   }
 
   @Test
-  void shouldSendNothingMoreWhenAnUpstreamIsListedAsLeaving() throws Exception {
-    UpstreamStandIn leaving = test.site.upstreams().get(0);
-    test.site.list(leaving, true);
-    eventually(() -> test.ctl(0, "status").text().contains(leaving.address() + "  leaving"));
-    long before = leaving.ran();
+  void shouldStopSendingRequestsWhenAnUpstreamIsListedAsLeaving() throws Exception {
+    UpstreamStandIn leaving = cluster.standIns.upstreams().get(0);
+    cluster.standIns.registerUpstream(leaving, true);
+    eventually(() -> cluster.ctl(0, "status").text().contains(leaving.address() + "  leaving"));
+    long before = leaving.executedRequests();
     for (int i = 0; i < 100; i++) {
-      assertThat(test.call(i % 4, "search")).startsWith("HTTP/1.1 200");
+      assertThat(cluster.call(i % 4, "search")).startsWith("HTTP/1.1 200");
     }
-    assertThat(leaving.ran()).isEqualTo(before);
+    assertThat(leaving.executedRequests()).isEqualTo(before);
   }
 
   @Test
-  void shouldKeepAColdUpstreamWithinWhatItBears() throws Exception {
-    UpstreamStandIn cold = test.site.upstreams().get(0);
+  void shouldStayWithinTheConcurrencyLimitWhenAnUpstreamIsCold() throws Exception {
+    UpstreamStandIn cold = cluster.standIns.upstreams().get(0);
     for (int i = 0; i < 100; i++) {
-      test.call(i % 4, "search");
+      cluster.call(i % 4, "search");
     }
-    cold.turnCold();
-    cold.resetCounts();
+    cold.makeCold();
+    cold.resetCounters();
     for (int i = 0; i < 300; i++) {
-      assertThat(test.call(i % 4, "search")).startsWith("HTTP/1.1 200");
+      assertThat(cluster.call(i % 4, "search")).startsWith("HTTP/1.1 200");
     }
-    assertThat(cold.rejectedCold()).isLessThanOrEqualTo(1);
+    assertThat(cold.rejectedWhileCold()).isLessThanOrEqualTo(1);
   }
 }
--- a/embedded/src/test/java/dev/cactusstack/embedded/KeyedRequestsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/IdempotencyKeyTest.java
@@ -12,28 +12,31 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Requests with an Idempotency-Key that arrive again, elsewhere, at once, and under faults. */
-class KeyedRequestsTest {
-  private static TestSite test;
+/**
+ * Tests that a request with an Idempotency-Key runs at most once when it is retried, also at other
+ * hosts, concurrently and during faults.
+ */
+class IdempotencyKeyTest {
+  private static TestCluster cluster;
 
   @BeforeAll
   static void start() throws InterruptedException {
-    test = new TestSite(3);
+    cluster = new TestCluster(3);
   }
 
   @AfterAll
   static void stop() {
-    test.close();
+    cluster.close();
   }
 
   @AfterEach
-  void heal() {
-    test.site.platform().setFaults(PlatformFaults.NONE);
-    test.site.upstreams().forEach(u -> u.become(UpstreamCondition.HEALTHY));
+  void clearFaults() {
+    cluster.standIns.platform().setFaults(PlatformFaults.NONE);
+    cluster.standIns.upstreams().forEach(u -> u.setCondition(UpstreamCondition.HEALTHY));
   }
 
   private static String reserve(int host, String key, String path) throws IOException {
-    return test.raw(
+    return cluster.sendRaw(
         host,
         "POST "
             + path
@@ -45,15 +48,15 @@
   }
 
   @Test
-  void shouldRunOnceWhenItIsRepeatedAtAnotherHost() throws Exception {
+  void shouldRunOnceWhenTheRequestIsRetriedAtAnotherHost() throws Exception {
     assertThat(reserve(0, "delo-1", "/r")).startsWith("HTTP/1.1 200");
     assertThat(reserve(1, "delo-1", "/r")).startsWith("HTTP/1.1 409").contains("unknown");
-    TestSite.eventually(() -> reserve(2, "delo-1", "/r").contains("with status 200"));
-    assertThat(test.site.runs().count("delo-1")).isEqualTo(1);
+    TestCluster.eventually(() -> reserve(2, "delo-1", "/r").contains("with status 200"));
+    assertThat(cluster.standIns.executionCounter().count("delo-1")).isEqualTo(1);
   }
 
   @Test
-  void shouldRunOnceWhenItArrivesAtAllHostsAtOnce() throws Exception {
+  void shouldRunOnceWhenTheRequestReachesAllHostsConcurrently() throws Exception {
     var calls = new ArrayList<CompletableFuture<String>>();
     for (int i = 0; i < 9; i++) {
       int host = i % 3;
@@ -69,52 +72,56 @@
     }
     long served = calls.stream().filter(c -> c.join().startsWith("HTTP/1.1 200")).count();
     assertThat(served).isEqualTo(1);
-    assertThat(test.site.runs().count("delo-2")).isEqualTo(1);
+    assertThat(cluster.standIns.executionCounter().count("delo-2")).isEqualTo(1);
   }
 
   @Test
-  void shouldNotRunAgainWhenTheOutcomeWasLost() throws Exception {
-    test.site
+  void shouldNotRunAgainWhenTheOutcomeIsUnknown() throws Exception {
+    cluster
+        .standIns
         .upstreams()
-        .forEach(u -> u.become(new UpstreamCondition(1, false, false, false, true, false, false)));
+        .forEach(
+            u -> u.setCondition(new UpstreamCondition(1, false, false, false, true, false, false)));
     assertThat(reserve(0, "delo-3", "/r")).contains("Cactusstack-Outcome: unknown");
-    heal();
+    clearFaults();
     assertThat(reserve(1, "delo-3", "/r")).startsWith("HTTP/1.1 409").contains("unknown");
-    assertThat(test.site.runs().count("delo-3")).isEqualTo(1);
+    assertThat(cluster.standIns.executionCounter().count("delo-3")).isEqualTo(1);
   }
 
   @Test
-  void shouldRunWhenItIsRepeatedAfterItWasNotRun() throws Exception {
-    test.site
+  void shouldRunARetryWhenTheFirstRequestWasNotRun() throws Exception {
+    cluster
+        .standIns
         .upstreams()
-        .forEach(u -> u.become(new UpstreamCondition(1, false, true, false, false, false, false)));
+        .forEach(
+            u -> u.setCondition(new UpstreamCondition(1, false, true, false, false, false, false)));
     assertThat(reserve(0, "delo-4", "/r")).contains("Cactusstack-Outcome: not-run");
-    heal();
-    TestSite.eventually(() -> reserve(1, "delo-4", "/r").startsWith("HTTP/1.1 200"));
-    assertThat(test.site.runs().count("delo-4")).isEqualTo(1);
+    clearFaults();
+    TestCluster.eventually(() -> reserve(1, "delo-4", "/r").startsWith("HTTP/1.1 200"));
+    assertThat(cluster.standIns.executionCounter().count("delo-4")).isEqualTo(1);
   }
 
   @Test
-  void shouldRunOnceWhenTheAnswerOfTheTableIsLost() throws Exception {
-    test.site.platform().setFaults(new PlatformFaults(false, 0, 1));
+  void shouldRunOnceWhenTheTableServiceResponseIsLost() throws Exception {
+    cluster.standIns.platform().setFaults(new PlatformFaults(false, 0, 1));
     assertThat(reserve(0, "delo-5", "/r")).startsWith("HTTP/1.1 200");
     assertThat(reserve(1, "delo-5", "/r")).startsWith("HTTP/1.1 409");
-    assertThat(test.site.runs().count("delo-5")).isEqualTo(1);
+    assertThat(cluster.standIns.executionCounter().count("delo-5")).isEqualTo(1);
   }
 
   @Test
-  void shouldSayNotRunWhenTheTableIsDown() throws Exception {
-    test.site.platform().setFaults(new PlatformFaults(true, 0, 0));
+  void shouldReportNotRunWhenTheTableServiceIsDown() throws Exception {
+    cluster.standIns.platform().setFaults(new PlatformFaults(true, 0, 0));
     assertThat(reserve(0, "delo-6", "/r"))
         .startsWith("HTTP/1.1 503")
         .contains("Cactusstack-Outcome: not-run");
-    assertThat(test.site.runs().count("delo-6")).isZero();
+    assertThat(cluster.standIns.executionCounter().count("delo-6")).isZero();
   }
 
   @Test
-  void shouldRefuseAKeyThatWasUsedForAnotherRequest() throws Exception {
+  void shouldRejectTheKeyWhenItWasUsedForAnotherRequest() throws Exception {
     assertThat(reserve(0, "delo-7", "/r")).startsWith("HTTP/1.1 200");
     assertThat(reserve(0, "delo-7", "/other")).startsWith("HTTP/1.1 400").contains("not-run");
-    assertThat(test.site.runs().count("delo-7")).isEqualTo(1);
+    assertThat(cluster.standIns.executionCounter().count("delo-7")).isEqualTo(1);
   }
 }
--- a/embedded/src/test/java/dev/cactusstack/embedded/TestSite.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/TestCluster.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.EntryHost;
 import dev.cactusstack.standin.Deployment;
-import dev.cactusstack.standin.UpstreamTraits;
+import dev.cactusstack.standin.UpstreamSpec;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -21,39 +21,39 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** A site with quick upstreams and entry hosts, and the clients that tests use. */
-final class TestSite implements AutoCloseable {
-  static final long PATIENCE_MS = 60_000;
+/** Fast upstream stand-ins and entry hosts, with the clients that the tests use. */
+final class TestCluster implements AutoCloseable {
+  static final long TIMEOUT_MS = 60_000;
   private static final String SETTINGS =
       ", \"requests\": {\"answer_timeout_ms\": 3000, \"queue_timeout_ms\": 5000}";
 
-  final Site site;
-  final EmbeddedHosts embedded;
+  final StandInEnvironment standIns;
+  final EmbeddedHosts entryHosts;
   final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  TestSite(int hosts) throws InterruptedException {
+  TestCluster(int hosts) throws InterruptedException {
     Logger.getLogger("").setLevel(Level.SEVERE);
-    site = Site.startWith(Deployment.QAZYNA, TestSite::quick, 1);
-    embedded =
+    standIns = StandInEnvironment.startModified(Deployment.QAZYNA, TestCluster::fast, 1);
+    entryHosts =
         EmbeddedHosts.start(
-            site, hosts, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), SETTINGS);
-    if (!embedded.awaitReady(PATIENCE_MS)) {
+            standIns, hosts, 0, 0, LoadBalancingPolicy.LEAST_EXPECTED_LATENCY, Map.of(), SETTINGS);
+    if (!entryHosts.awaitReady(TIMEOUT_MS)) {
       throw new IllegalStateException("the hosts are not ready");
     }
   }
 
-  private static UpstreamTraits quick(UpstreamTraits t) {
-    return new UpstreamTraits(t.service(), t.dataCentre(), t.slots(), 2, 0, 1, 20);
+  private static UpstreamSpec fast(UpstreamSpec t) {
+    return new UpstreamSpec(t.service(), t.dataCentre(), t.slots(), 2, 0, 1, 20);
   }
 
   EntryHost host(int i) {
-    return embedded.hosts().get(i);
+    return entryHosts.hosts().get(i);
   }
 
-  /** Sends bytes over a new connection, ends the sending side, and returns all that comes back. */
-  String raw(int host, String... parts) throws IOException {
+  /** Sends bytes over a new connection, closes its output, and returns the whole response. */
+  String sendRaw(int host, String... parts) throws IOException {
     try (var socket = new Socket("127.0.0.1", host(host).callersAddress().port())) {
-      socket.setSoTimeout((int) PATIENCE_MS);
+      socket.setSoTimeout((int) TIMEOUT_MS);
       for (String p : parts) {
         socket.getOutputStream().write(p.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
@@ -61,33 +61,33 @@
       socket.shutdownOutput();
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     } catch (java.net.SocketException e) {
-      // The server may close while there is unread input; the client then sees a reset.
+      // A server that closes the connection before reading all input causes a reset.
       return "";
     }
   }
 
-  /** A request of the service through a host; the answer's whole text. */
+  /** Sends a request for a service through a host and returns the whole response. */
   String call(int host, String service) throws IOException {
-    return raw(host, "GET /x HTTP/1.1\r\nHost: " + service + "\r\nConnection: close\r\n\r\n");
+    return sendRaw(host, "GET /x HTTP/1.1\r\nHost: " + service + "\r\nConnection: close\r\n\r\n");
   }
 
-  /** Downloads and returns the number of body bytes. */
+  /** Downloads a body of the given size and returns the number of received bytes. */
   long largeDownload(String service, long size) throws IOException {
     try (var socket = new Socket("127.0.0.1", host(0).callersAddress().port())) {
       String head =
           "GET /bytes/" + size + " HTTP/1.1\r\nHost: " + service + "\r\nConnection: close\r\n\r\n";
       socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
       var in = new java.io.BufferedInputStream(socket.getInputStream(), 1 << 16);
-      int ends = 0;
-      while (ends < 4) {
+      int lineEndBytes = 0;
+      while (lineEndBytes < 4) {
         int c = in.read();
-        ends = c == '\r' || c == '\n' ? ends + 1 : 0;
+        lineEndBytes = c == '\r' || c == '\n' ? lineEndBytes + 1 : 0;
       }
       return in.transferTo(java.io.OutputStream.nullOutputStream());
     }
   }
 
-  /** Uploads in chunks of an unknown total, and returns the answer. */
+  /** Uploads a body of the given size and returns the response. */
   String largeUpload(String service, long size) throws IOException {
     try (var socket = new Socket("127.0.0.1", host(0).callersAddress().port())) {
       String head =
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Uploads slowly, as over a poor line, and returns the answer. */
+  /** Uploads slowly, as over a slow connection, and returns the response. */
   String slowUpload(int host, String service) throws IOException, InterruptedException {
     try (var socket = new Socket("127.0.0.1", host(host).callersAddress().port())) {
       String head = "POST /up HTTP/1.1\r\nHost: " + service + "\r\nContent-Length: 60\r\n\r\n";
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Reads one number of a host's metrics. */
+  /** Returns the value of one metric of a host. */
   double metric(int host, String name) throws IOException, InterruptedException {
     URI uri = URI.create("http://" + host(host).operatorsAddress() + "/metrics");
     String text =
@@ -135,24 +135,24 @@
         .orElseThrow();
   }
 
-  Ended ctl(int host, String... args) {
+  CommandResult ctl(int host, String... args) {
     var out = new ByteArrayOutputStream();
-    var all = new java.util.ArrayList<String>();
-    all.add("--operators");
-    all.add(host(host).operatorsAddress().toString());
-    all.addAll(List.of(args));
+    var arguments = new java.util.ArrayList<String>();
+    arguments.add("--operators");
+    arguments.add(host(host).operatorsAddress().toString());
+    arguments.addAll(List.of(args));
     var stream = new PrintStream(out, true, StandardCharsets.UTF_8);
-    int code = CtlMain.run(all.toArray(new String[0]), Map.of(), stream, stream);
-    return new Ended(code, out.toString(StandardCharsets.UTF_8));
+    int code = CtlMain.run(arguments.toArray(new String[0]), Map.of(), stream, stream);
+    return new CommandResult(code, out.toString(StandardCharsets.UTF_8));
   }
 
-  record Ended(int code, String text) {}
+  record CommandResult(int code, String text) {}
 
-  /** Waits for a condition; the wait is a bound against hanging, not a measurement. */
+  /** Waits for a condition; the timeout only keeps a failing test from hanging. */
   static void eventually(Callable<Boolean> condition) throws Exception {
-    long end = System.nanoTime() + Duration.ofMillis(PATIENCE_MS).toNanos();
+    long deadlineNanos = System.nanoTime() + Duration.ofMillis(TIMEOUT_MS).toNanos();
     while (!condition.call()) {
-      if (System.nanoTime() > end) {
+      if (System.nanoTime() > deadlineNanos) {
         throw new AssertionError("the condition did not become true");
       }
       Thread.sleep(20);
@@ -161,7 +161,7 @@
 
   @Override
   public void close() {
-    embedded.close();
-    site.close();
+    entryHosts.close();
+    standIns.close();
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/BodyCounter.java
+++ b/standin/src/main/java/dev/cactusstack/standin/BodyCounter.java
@@ -7,29 +7,31 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads and counts a request's body without keeping it. Confined to the exchange's I/O thread. */
+/**
+ * Reads a request body, counts its bytes and discards them. Confined to the exchange's I/O thread.
+ */
 final class BodyCounter {
   private static final int BUFFER_BYTES = 16 * 1024;
 
   private final HttpServerExchange exchange;
-  private final LongConsumer whole;
-  private final Runnable cut;
+  private final LongConsumer onComplete;
+  private final Runnable onError;
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
   private long count;
 
-  private BodyCounter(HttpServerExchange exchange, LongConsumer whole, Runnable cut) {
+  private BodyCounter(HttpServerExchange exchange, LongConsumer onComplete, Runnable onError) {
     this.exchange = exchange;
-    this.whole = whole;
-    this.cut = cut;
+    this.onComplete = onComplete;
+    this.onError = onError;
   }
 
-  static void count(HttpServerExchange x, LongConsumer whole, Runnable cut) {
+  static void count(HttpServerExchange x, LongConsumer onComplete, Runnable onError) {
     StreamSourceChannel source = x.isRequestComplete() ? null : x.getRequestChannel();
     if (source == null) {
-      whole.accept(0);
+      onComplete.accept(0);
       return;
     }
-    var counter = new BodyCounter(x, whole, cut);
+    var counter = new BodyCounter(x, onComplete, onError);
     source.getReadSetter().set(counter::read);
     counter.read(source);
   }
@@ -45,10 +47,10 @@
         buffer.clear();
       }
       source.suspendReads();
-      whole.accept(count);
+      onComplete.accept(count);
     } catch (IOException e) {
       IoUtils.safeClose(exchange.getConnection());
-      cut.run();
+      onError.run();
     }
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/Deployment.java
+++ b/standin/src/main/java/dev/cactusstack/standin/Deployment.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The two users' deployments at today's sizes. Immutable and thread-safe. */
+/** The two users' deployments at their current sizes. Immutable and thread-safe. */
 public enum Deployment {
   /** Qazyna Opis Labs: three data centres in Almaty. */
   QAZYNA(
@@ -26,15 +26,15 @@
           new Service("sign-offs", 12, 30),
           new Service("checklists", 6, 50)));
 
-  private static final int DATA_CENTRES = 3;
+  private static final int DATA_CENTRE_COUNT = 3;
 
-  /** Sigma of the log-normal distribution of the time of a run. */
-  public static final double SPREAD = 0.3;
+  /** Sigma of the log-normal distribution of the service time. */
+  public static final double SERVICE_TIME_SIGMA = 0.3;
 
-  private static final int COLD_BEARS = 1;
-  private static final int WARM_UP_RUNS = 20;
+  private static final int COLD_CONCURRENCY_LIMIT = 1;
+  private static final int WARM_UP_REQUESTS = 20;
 
-  private final String prefix;
+  private final String dataCentrePrefix;
   private final int entryHosts;
   private final int slots;
   private final List<Service> services;
@@ -42,14 +42,14 @@
   /**
    * A service of a deployment.
    *
-   * @param name its name
-   * @param servers how many upstreams it has
-   * @param serviceMs median time of a run, in milliseconds
+   * @param name name of the service
+   * @param upstreamCount number of upstreams
+   * @param medianServiceMs median service time, in milliseconds
    */
-  public record Service(String name, int servers, double serviceMs) {}
+  public record Service(String name, int upstreamCount, double medianServiceMs) {}
 
-  Deployment(String prefix, int entryHosts, int slots, List<Service> services) {
-    this.prefix = prefix;
+  Deployment(String dataCentrePrefix, int entryHosts, int slots, List<Service> services) {
+    this.dataCentrePrefix = dataCentrePrefix;
     this.entryHosts = entryHosts;
     this.slots = slots;
     this.services = services;
@@ -59,7 +59,7 @@
    * Finds a deployment by name.
    *
    * @param name {@code qazyna} or {@code limpieza}
-   * @return the deployment, if there is one
+   * @return the deployment, or empty when the name is unknown
    */
   public static Optional<Deployment> ofName(String name) {
     for (Deployment d : values()) {
@@ -86,14 +86,14 @@
    */
   public List<String> dataCentres() {
     var names = new ArrayList<String>();
-    for (int i = 1; i <= DATA_CENTRES; i++) {
-      names.add(prefix + "-" + i);
+    for (int i = 1; i <= DATA_CENTRE_COUNT; i++) {
+      names.add(dataCentrePrefix + "-" + i);
     }
     return names;
   }
 
   /**
-   * Returns the number of entry hosts of an experiment.
+   * Returns the number of entry hosts to start for an experiment.
    *
    * @return the count
    */
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Returns the slots of each upstream.
+   * Returns the number of slots of each upstream.
    *
    * @return the count
    */
@@ -122,25 +122,25 @@
   /**
    * Lists the upstreams, spread evenly over the data centres.
    *
-   * @param scale factor on the number of upstreams of each service
-   * @return what each upstream is
+   * @param scale factor applied to the number of upstreams of each service
+   * @return the specification of each upstream
    */
-  public List<UpstreamTraits> upstreams(int scale) {
-    var list = new ArrayList<UpstreamTraits>();
+  public List<UpstreamSpec> upstreams(int scale) {
+    var list = new ArrayList<UpstreamSpec>();
     List<String> dataCentres = dataCentres();
     for (int s = 0; s < services.size(); s++) {
       Service service = services.get(s);
-      for (int i = 0; i < service.servers() * scale; i++) {
-        String dataCentre = dataCentres.get((i + s) % DATA_CENTRES);
+      for (int i = 0; i < service.upstreamCount() * scale; i++) {
+        String dataCentre = dataCentres.get((i + s) % DATA_CENTRE_COUNT);
         list.add(
-            new UpstreamTraits(
+            new UpstreamSpec(
                 service.name(),
                 dataCentre,
                 slots,
-                service.serviceMs(),
-                SPREAD,
-                COLD_BEARS,
-                WARM_UP_RUNS));
+                service.medianServiceMs(),
+                SERVICE_TIME_SIGMA,
+                COLD_CONCURRENCY_LIMIT,
+                WARM_UP_REQUESTS));
       }
     }
     return list;
--- a/standin/src/main/java/dev/cactusstack/standin/GeneratedBody.java
+++ b/standin/src/main/java/dev/cactusstack/standin/GeneratedBody.java
@@ -7,24 +7,27 @@
 import org.xnio.IoUtils;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes an answer of a given size as fast as the reader takes it. Confined to one I/O thread. */
+/**
+ * Writes a response body of a given size as fast as the client reads it. Confined to one I/O
+ * thread.
+ */
 final class GeneratedBody {
   private static final int BLOCK_BYTES = 16 * 1024;
 
   private final HttpServerExchange exchange;
-  private final long cutAt;
-  private long left;
+  private final long closeAtRemainingBytes;
+  private long remainingBytes;
   private ByteBuffer block = ByteBuffer.allocate(0);
 
-  private GeneratedBody(HttpServerExchange exchange, long bytes, boolean cut) {
+  private GeneratedBody(HttpServerExchange exchange, long bytes, boolean truncate) {
     this.exchange = exchange;
-    this.left = bytes;
-    this.cutAt = cut ? bytes / 2 : -1;
+    this.remainingBytes = bytes;
+    this.closeAtRemainingBytes = truncate ? bytes / 2 : -1;
   }
 
-  static void send(HttpServerExchange x, long bytes, boolean cut) {
+  static void send(HttpServerExchange x, long bytes, boolean truncate) {
     x.getResponseHeaders().put(Headers.CONTENT_LENGTH, bytes);
-    var body = new GeneratedBody(x, bytes, cut);
+    var body = new GeneratedBody(x, bytes, truncate);
     StreamSinkChannel sink = x.getResponseChannel();
     sink.getWriteSetter().set(body::write);
     body.write(sink);
@@ -32,17 +35,17 @@
 
   private void write(StreamSinkChannel sink) {
     try {
-      while (left > 0 || block.hasRemaining()) {
+      while (remainingBytes > 0 || block.hasRemaining()) {
         if (!block.hasRemaining()) {
-          int n = (int) Math.min(BLOCK_BYTES, left);
+          int n = (int) Math.min(BLOCK_BYTES, remainingBytes);
           block = ByteBuffer.allocate(n);
-          left -= n;
+          remainingBytes -= n;
         }
         if (sink.write(block) == 0) {
           sink.resumeWrites();
           return;
         }
-        if (left <= cutAt) {
+        if (remainingBytes <= closeAtRemainingBytes) {
           IoUtils.safeClose(exchange.getConnection());
           return;
         }
--- a/standin/src/main/java/dev/cactusstack/standin/HostRegister.java
+++ b/standin/src/main/java/dev/cactusstack/standin/HostRegistry.java
@@ -7,36 +7,36 @@
 import java.util.TreeMap;
 
 /**
- * The platform's host list, with the revision of each change. Removed hosts are remembered, so that
- * a reader can ask for changes only. Thread-safe.
+ * The platform's host list, with the revision of each change. Entries of removed hosts are kept, so
+ * that a reader can request only the changes after a revision. Thread-safe.
  */
-final class HostRegister {
-  /** An entry; a removed host has an empty one. */
-  private record Listed(long revision, ObjectNode fields) {}
+final class HostRegistry {
+  /** A host's entry; its fields are empty after the host was removed. */
+  private record HostEntry(long revision, ObjectNode fields) {}
 
-  private final Map<String, Listed> hosts = new TreeMap<>();
+  private final Map<String, HostEntry> hosts = new TreeMap<>();
   private long revision;
 
   synchronized void put(String address, ObjectNode fields) {
-    hosts.put(address, new Listed(++revision, fields));
+    hosts.put(address, new HostEntry(++revision, fields));
   }
 
   synchronized void remove(String address) {
     if (hosts.containsKey(address)) {
-      hosts.put(address, new Listed(++revision, Json.object()));
+      hosts.put(address, new HostEntry(++revision, Json.object()));
     }
   }
 
   synchronized ObjectNode changesAfter(long after) {
     ObjectNode page = Json.object().put("revision", revision).put("whole", after == 0);
-    ArrayNode listed = page.putArray("hosts");
+    ArrayNode changed = page.putArray("hosts");
     ArrayNode removed = page.putArray("removed");
     hosts.forEach(
         (address, h) -> {
           if (h.revision > after && h.fields.isEmpty()) {
             removed.add(address);
           } else if (h.revision > after) {
-            listed.addObject().put("address", address).setAll(h.fields);
+            changed.addObject().put("address", address).setAll(h.fields);
           }
         });
     return page;
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformFaults.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformFaults.java
@@ -1,25 +1,26 @@
 package dev.cactusstack.standin;
 
 /**
- * Faults that the platform stand-in causes. Immutable and thread-safe.
+ * Faults that the platform stand-in simulates. Immutable and thread-safe.
  *
- * @param down whether every request is refused by closing the connection
- * @param slowMs delay before each answer, in milliseconds
- * @param loseAnswers number of further transactions whose answer is lost after the write
- * @param tableDown whether only the table service is refused, and the host list still answers
+ * @param down whether the connection of every request is closed without a response
+ * @param responseDelayMs delay before each response, in milliseconds
+ * @param lostResponses number of next transactions whose response is lost after the write
+ * @param tableDown whether only the table service is down, while the host list still responds
  */
-public record PlatformFaults(boolean down, long slowMs, int loseAnswers, boolean tableDown) {
+public record PlatformFaults(
+    boolean down, long responseDelayMs, int lostResponses, boolean tableDown) {
   /** No faults. */
   public static final PlatformFaults NONE = new PlatformFaults(false, 0, 0, false);
 
   /**
-   * Creates faults of the whole platform.
+   * Creates faults that affect the whole platform.
    *
-   * @param down whether every request is refused by closing the connection
-   * @param slowMs delay before each answer, in milliseconds
-   * @param loseAnswers number of further transactions whose answer is lost after the write
+   * @param down whether the connection of every request is closed without a response
+   * @param responseDelayMs delay before each response, in milliseconds
+   * @param lostResponses number of next transactions whose response is lost after the write
    */
-  public PlatformFaults(boolean down, long slowMs, int loseAnswers) {
-    this(down, slowMs, loseAnswers, false);
+  public PlatformFaults(boolean down, long responseDelayMs, int lostResponses) {
+    this(down, responseDelayMs, lostResponses, false);
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
@@ -20,8 +20,8 @@
 import org.xnio.IoUtils;
 
 /**
- * The platform's table service, object store and host list in memory, over HTTP, with faults that
- * can be caused.
+ * The platform's table service, object store and host list in memory, over HTTP, with configurable
+ * faults.
  *
  * <p>Interface: {@code GET /v1/rows?after=N}, {@code GET /v1/row?key=K}, {@code POST
  * /v1/transactions}, {@code GET /v1/hosts?after=N}, {@code PUT|DELETE /v1/hosts/ADDRESS}, {@code
@@ -31,17 +31,17 @@
   private static final int IO_THREADS = 1;
   private static final int WORKER_THREADS = 8;
 
-  /** Heads of a request and its answer, and the packets that open and close a connection. */
-  private static final int HEAD_BYTES = 800;
+  /** Request and response headers, and the packets that open and close a connection. */
+  private static final int OVERHEAD_BYTES_PER_REQUEST = 800;
 
   private static final String HOSTS_PATH = "/v1/hosts/";
   private static final String OBJECTS_PATH = "/v1/objects/";
 
-  private final TableState table = new TableState();
-  private final TableState claims = new TableState();
-  private final HostRegister hosts = new HostRegister();
+  private final InMemoryTable table = new InMemoryTable();
+  private final InMemoryTable claims = new InMemoryTable();
+  private final HostRegistry hosts = new HostRegistry();
   private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
-  private final LongAdder bytes = new LongAdder();
+  private final LongAdder responseBytes = new LongAdder();
   private volatile PlatformFaults faults = PlatformFaults.NONE;
   private final Undertow server;
 
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Starts a stand-in on loopback.
+   * Starts a platform stand-in on loopback.
    *
-   * @param port the port, 0 for any
+   * @param port the port to listen on, 0 for any free port
    * @return the running stand-in
    */
   public static PlatformStandIn start(int port) {
@@ -68,7 +68,7 @@
   }
 
   /**
-   * Returns the port it serves on.
+   * Returns the port that the stand-in listens on.
    *
    * @return the port number
    */
@@ -77,37 +77,37 @@
   }
 
   /**
-   * Replaces the faults it causes.
+   * Replaces the simulated faults.
    *
-   * @param next the faults from now on
+   * @param newFaults the faults to simulate from now on
    */
-  public synchronized void setFaults(PlatformFaults next) {
-    faults = Objects.requireNonNull(next, "next is null");
+  public synchronized void setFaults(PlatformFaults newFaults) {
+    faults = Objects.requireNonNull(newFaults, "next is null");
   }
 
   /**
-   * Writes rows without any check.
+   * Writes rows without checking their versions.
    *
    * @param writes a transaction's {@code writes}, each with {@code key} and {@code value}
    */
   public void writeRows(ArrayNode writes) {
-    ObjectNode t = Json.object();
-    t.set("writes", writes);
-    table.commit(t);
+    ObjectNode transaction = Json.object();
+    transaction.set("writes", writes);
+    table.commit(transaction);
   }
 
   /**
-   * Lists a host, or replaces its entry.
+   * Adds a host to the host list, or replaces its entry.
    *
    * @param address the host's address
-   * @param entry its fields
+   * @param entry the fields of the entry
    */
   public void registerHost(String address, JsonNode entry) {
     hosts.put(address, (ObjectNode) entry);
   }
 
   /**
-   * Removes a host from the list.
+   * Removes a host from the host list.
    *
    * @param address the host's address
    */
@@ -128,39 +128,39 @@
   private void handle(HttpServerExchange x) throws Exception {
     PlatformFaults f = faults;
     if (x.getRequestPath().equals("/v1/faults")) {
-      changeFaults(x);
+      updateFaults(x);
       return;
     }
-    if (f.down() || f.tableDown() && isTable(x.getRequestPath())) {
+    if (f.down() || f.tableDown() && isTablePath(x.getRequestPath())) {
       IoUtils.safeClose(x.getConnection());
       return;
     }
-    if (f.slowMs() > 0) {
-      TimeUnit.MILLISECONDS.sleep(f.slowMs());
+    if (f.responseDelayMs() > 0) {
+      TimeUnit.MILLISECONDS.sleep(f.responseDelayMs());
     }
     String path = x.getRequestPath();
     if (path.equals("/v1/rows")) {
-      reply(x, 200, tableOf(x).changesAfter(after(x)));
+      reply(x, 200, tableFor(x).changesAfter(afterRevision(x)));
     } else if (path.equals("/v1/row")) {
-      reply(x, 200, tableOf(x).row(queryValue(x, "key")));
+      reply(x, 200, tableFor(x).row(queryValue(x, "key")));
     } else if (path.equals("/v1/transactions")) {
       transact(x);
     } else if (path.equals("/v1/hosts")) {
-      reply(x, 200, hosts.changesAfter(after(x)));
+      reply(x, 200, hosts.changesAfter(afterRevision(x)));
     } else if (path.startsWith(HOSTS_PATH)) {
-      changeHost(x, path.substring(HOSTS_PATH.length()));
+      updateHost(x, path.substring(HOSTS_PATH.length()));
     } else if (path.startsWith(OBJECTS_PATH)) {
-      object(x, path.substring(OBJECTS_PATH.length()));
+      handleObject(x, path.substring(OBJECTS_PATH.length()));
     } else {
       reply(x, 404, Json.object().put("error", "no such resource"));
     }
   }
 
-  private static boolean isTable(String path) {
+  private static boolean isTablePath(String path) {
     return path.equals("/v1/rows") || path.equals("/v1/row") || path.equals("/v1/transactions");
   }
 
-  private TableState tableOf(HttpServerExchange x) {
+  private InMemoryTable tableFor(HttpServerExchange x) {
     return queryValue(x, "table").equals("claims") ? claims : table;
   }
 
@@ -169,19 +169,19 @@
     return values == null ? "" : values.getFirst();
   }
 
-  private static long after(HttpServerExchange x) {
+  private static long afterRevision(HttpServerExchange x) {
     String after = queryValue(x, "after");
     return after.isEmpty() ? 0 : Long.parseLong(after);
   }
 
-  private static JsonNode body(HttpServerExchange x) throws Exception {
+  private static JsonNode readBody(HttpServerExchange x) throws Exception {
     x.startBlocking();
     return Json.parse(x.getInputStream().readAllBytes()).orElse(Json.object());
   }
 
   private void transact(HttpServerExchange x) throws Exception {
-    OptionalLong revision = tableOf(x).commit(body(x));
-    if (takeLostAnswer()) {
+    OptionalLong revision = tableFor(x).commit(readBody(x));
+    if (consumeLostResponse()) {
       IoUtils.safeClose(x.getConnection());
     } else if (revision.isPresent()) {
       reply(x, 200, Json.object().put("revision", revision.getAsLong()));
@@ -190,25 +190,26 @@
     }
   }
 
-  private synchronized boolean takeLostAnswer() {
+  private synchronized boolean consumeLostResponse() {
     PlatformFaults f = faults;
-    if (f.loseAnswers() == 0) {
+    if (f.lostResponses() == 0) {
       return false;
     }
-    faults = new PlatformFaults(f.down(), f.slowMs(), f.loseAnswers() - 1, f.tableDown());
+    faults =
+        new PlatformFaults(f.down(), f.responseDelayMs(), f.lostResponses() - 1, f.tableDown());
     return true;
   }
 
-  private void changeHost(HttpServerExchange x, String address) throws Exception {
+  private void updateHost(HttpServerExchange x, String address) throws Exception {
     if (x.getRequestMethod().equalToString("DELETE")) {
       deregisterHost(address);
     } else {
-      registerHost(address, body(x));
+      registerHost(address, readBody(x));
     }
     reply(x, 200, Json.object());
   }
 
-  private void object(HttpServerExchange x, String name) throws Exception {
+  private void handleObject(HttpServerExchange x, String name) throws Exception {
     if (x.getRequestMethod().equalToString("PUT")) {
       x.startBlocking();
       objects.put(name, x.getInputStream().readAllBytes());
@@ -223,8 +224,8 @@
     x.getResponseSender().send(ByteBuffer.wrap(content));
   }
 
-  private void changeFaults(HttpServerExchange x) throws Exception {
-    JsonNode n = body(x);
+  private void updateFaults(HttpServerExchange x) throws Exception {
+    JsonNode n = readBody(x);
     setFaults(
         new PlatformFaults(
             n.path("down").asBoolean(),
@@ -235,17 +236,18 @@
   }
 
   /**
-   * Returns the bytes of answers since the start, without their heads.
+   * Returns the bytes of all responses since the start, including an estimated overhead for each
+   * request.
    *
    * @return the count
    */
-  public long bytes() {
-    return bytes.sum();
+  public long responseBytes() {
+    return responseBytes.sum();
   }
 
   private void reply(HttpServerExchange x, int status, JsonNode content) {
     byte[] body = Json.bytes(content);
-    bytes.add(body.length + HEAD_BYTES);
+    responseBytes.add(body.length + OVERHEAD_BYTES_PER_REQUEST);
     x.setStatusCode(status);
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseSender().send(ByteBuffer.wrap(body));
--- a/standin/src/main/java/dev/cactusstack/standin/SlotQueue.java
+++ b/standin/src/main/java/dev/cactusstack/standin/SlotQueue.java
@@ -4,42 +4,43 @@
 import java.util.Queue;
 
 /**
- * The true occupation of an upstream stand-in: runs in its slots, the rest in a queue. Thread-safe.
+ * Runs requests of an upstream stand-in in a fixed number of slots and queues the rest.
+ * Thread-safe.
  */
 final class SlotQueue {
   private final int slots;
   private final Queue<Runnable> queue = new ArrayDeque<>();
-  private int running;
-  private int peak;
-  private long overSlots;
+  private int busySlots;
+  private int peakInFlight;
+  private long arrivalsOverCapacity;
 
   SlotQueue(int slots) {
     this.slots = slots;
   }
 
-  /** Runs a request in a free slot, or queues it; returns the requests now in flight. */
-  int arrive(Runnable run) {
+  /** Runs a request in a free slot or queues it, and returns the number of requests in flight. */
+  int submit(Runnable task) {
     int inFlight;
     synchronized (this) {
-      inFlight = running + queue.size() + 1;
-      peak = Math.max(peak, inFlight);
-      if (running >= slots) {
-        overSlots++;
-        queue.add(run);
+      inFlight = busySlots + queue.size() + 1;
+      peakInFlight = Math.max(peakInFlight, inFlight);
+      if (busySlots >= slots) {
+        arrivalsOverCapacity++;
+        queue.add(task);
         return inFlight;
       }
-      running++;
+      busySlots++;
     }
-    run.run();
+    task.run();
     return inFlight;
   }
 
-  void depart() {
+  void release() {
     Runnable next;
     synchronized (this) {
       next = queue.poll();
       if (next == null) {
-        running--;
+        busySlots--;
         return;
       }
     }
@@ -47,19 +48,19 @@
   }
 
   synchronized int inFlight() {
-    return running + queue.size();
+    return busySlots + queue.size();
   }
 
-  synchronized int peak() {
-    return peak;
+  synchronized int peakInFlight() {
+    return peakInFlight;
   }
 
-  synchronized long overSlots() {
-    return overSlots;
+  synchronized long arrivalsOverCapacity() {
+    return arrivalsOverCapacity;
   }
 
-  synchronized void resetCounts() {
-    peak = running + queue.size();
-    overSlots = 0;
+  synchronized void resetCounters() {
+    peakInFlight = busySlots + queue.size();
+    arrivalsOverCapacity = 0;
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/UpstreamCondition.java
+++ b/standin/src/main/java/dev/cactusstack/standin/UpstreamCondition.java
@@ -1,54 +1,63 @@
 package dev.cactusstack.standin;
 
 /**
- * The faults an upstream stand-in shows now. Immutable and thread-safe.
+ * The faults that an upstream stand-in currently simulates. Immutable and thread-safe.
  *
- * @param slowdown factor on the time of a run
- * @param failFast whether it answers every request at once with a server error
- * @param shedding whether it refuses every request without running it
+ * @param slowdown factor applied to the service time
+ * @param failFast whether it responds to every request immediately with a server error
+ * @param shedding whether it rejects every request without executing it
  * @param leaving whether it reports that it is leaving
- * @param silent whether it accepts requests and never answers
- * @param cut whether it closes the connection in the middle of each answer
- * @param stall whether it goes silent in the middle of each answer
+ * @param unresponsive whether it accepts requests and never responds
+ * @param truncatesResponses whether it closes the connection in the middle of each response
+ * @param stallsResponses whether it stops sending in the middle of each response
  */
 public record UpstreamCondition(
     double slowdown,
     boolean failFast,
     boolean shedding,
     boolean leaving,
-    boolean silent,
-    boolean cut,
-    boolean stall) {
+    boolean unresponsive,
+    boolean truncatesResponses,
+    boolean stallsResponses) {
   /** No faults. */
   public static final UpstreamCondition HEALTHY =
       new UpstreamCondition(1, false, false, false, false, false, false);
 
   /**
-   * Changes the speed.
+   * Returns this condition with another service time.
    *
-   * @param factor factor on the time of a run
+   * @param factor factor applied to the service time
    * @return the changed condition
    */
-  public UpstreamCondition slowedBy(double factor) {
-    return new UpstreamCondition(factor, failFast, shedding, leaving, silent, cut, stall);
+  public UpstreamCondition withSlowdown(double factor) {
+    return new UpstreamCondition(
+        factor, failFast, shedding, leaving, unresponsive, truncatesResponses, stallsResponses);
   }
 
   /**
-   * Makes it go silent in the middle of each answer.
+   * Returns this condition with responses that stop in the middle.
    *
    * @return the changed condition
    */
-  public UpstreamCondition stalling() {
-    return new UpstreamCondition(slowdown, failFast, shedding, leaving, silent, cut, true);
+  public UpstreamCondition withStalledResponses() {
+    return new UpstreamCondition(
+        slowdown, failFast, shedding, leaving, unresponsive, truncatesResponses, true);
   }
 
   /**
-   * Changes whether it reports that it is leaving.
+   * Returns this condition with another leaving state.
    *
-   * @param now whether it does
+   * @param newLeaving whether it reports that it is leaving
    * @return the changed condition
    */
-  public UpstreamCondition leaving(boolean now) {
-    return new UpstreamCondition(slowdown, failFast, shedding, now, silent, cut, stall);
+  public UpstreamCondition leaving(boolean newLeaving) {
+    return new UpstreamCondition(
+        slowdown,
+        failFast,
+        shedding,
+        newLeaving,
+        unresponsive,
+        truncatesResponses,
+        stallsResponses);
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
@@ -22,44 +22,44 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * An upstream on loopback with slots, a queue, cold start and faults.
+ * Simulates an upstream on loopback, with request slots, a queue, a cold start and faults.
  *
- * <p>Paths: {@code /bytes/N} answers N bytes; any other answers a JSON object with the request's
- * {@code X-Request-Id}. {@code PUT /standin/condition} changes the faults. Thread-safe.
+ * <p>Paths: {@code /bytes/N} returns N bytes; any other path returns a JSON object with the
+ * request's {@code X-Request-Id}. {@code PUT /standin/condition} changes the faults. Thread-safe.
  */
 public final class UpstreamStandIn implements AutoCloseable {
-  private static final HttpString LOAD = new HttpString("Cactusstack-Load");
-  private static final HttpString DEADLINE = new HttpString("Cactusstack-Deadline-Ms");
-  private static final HttpString RETRY = new HttpString("Cactusstack-Retry");
-  private static final HttpString OUTCOME = new HttpString("Cactusstack-Outcome");
-  private static final HttpString TIME_SPENT = new HttpString("X-Standin-Micros");
-  private static final HttpString REQUEST_ID = new HttpString("X-Request-Id");
+  private static final HttpString LOAD_HEADER = new HttpString("Cactusstack-Load");
+  private static final HttpString DEADLINE_HEADER = new HttpString("Cactusstack-Deadline-Ms");
+  private static final HttpString RETRY_HEADER = new HttpString("Cactusstack-Retry");
+  private static final HttpString OUTCOME_HEADER = new HttpString("Cactusstack-Outcome");
+  private static final HttpString PROCESSING_MICROS_HEADER = new HttpString("X-Standin-Micros");
+  private static final HttpString REQUEST_ID_HEADER = new HttpString("X-Request-Id");
   private static final long MAX_BODY_BYTES = 1L << 40;
   private static final String BYTES_PATH = "/bytes/";
 
-  private final UpstreamTraits traits;
+  private final UpstreamSpec spec;
   private final Undertow server;
-  private final SlotQueue slots;
-  private final RunLog runs;
+  private final SlotQueue slotQueue;
+  private final ExecutionCounter executionCounter;
   private final Random random;
-  private final Set<Work> running = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger warmUpLeft;
-  private final AtomicLong ran = new AtomicLong();
-  private final AtomicLong rejectedCold = new AtomicLong();
+  private final Set<Execution> activeExecutions = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger warmUpRemaining;
+  private final AtomicLong executedRequests = new AtomicLong();
+  private final AtomicLong rejectedWhileCold = new AtomicLong();
   private volatile UpstreamCondition condition = UpstreamCondition.HEALTHY;
 
   private UpstreamStandIn(
-      UpstreamTraits traits,
+      UpstreamSpec spec,
       int port,
       XnioWorker worker,
-      RunLog runs,
+      ExecutionCounter executionCounter,
       Random random,
       boolean cold) {
-    this.traits = Objects.requireNonNull(traits, "traits is null");
-    this.runs = Objects.requireNonNull(runs, "runs is null");
+    this.spec = Objects.requireNonNull(spec, "traits is null");
+    this.executionCounter = Objects.requireNonNull(executionCounter, "runs is null");
     this.random = Objects.requireNonNull(random, "random is null");
-    this.slots = new SlotQueue(traits.slots());
-    this.warmUpLeft = new AtomicInteger(cold ? traits.warmUpRuns() : 0);
+    this.slotQueue = new SlotQueue(spec.slots());
+    this.warmUpRemaining = new AtomicInteger(cold ? spec.warmUpRequests() : 0);
     this.server =
         Undertow.builder()
             .addHttpListener(port, "127.0.0.1")
@@ -71,39 +71,39 @@
   }
 
   /**
-   * Starts a stand-in on loopback.
+   * Starts an upstream stand-in on loopback.
    *
-   * @param traits what it is
-   * @param port the port, 0 for any
-   * @param worker its threads, which may be shared
-   * @param runs counts what it runs
-   * @param random draws the times of runs; used by several threads
+   * @param spec the specification of the upstream
+   * @param port the port to listen on, 0 for any free port
+   * @param worker the I/O threads, which may be shared
+   * @param executionCounter counts the executions of each request
+   * @param random samples the service times; used by several threads
    * @param cold whether it starts cold
    * @return the running stand-in
    */
   public static UpstreamStandIn start(
-      UpstreamTraits traits,
+      UpstreamSpec spec,
       int port,
       XnioWorker worker,
-      RunLog runs,
+      ExecutionCounter executionCounter,
       Random random,
       boolean cold) {
-    var u = new UpstreamStandIn(traits, port, worker, runs, random, cold);
+    var u = new UpstreamStandIn(spec, port, worker, executionCounter, random, cold);
     u.server.start();
     return u;
   }
 
   /**
-   * Returns what it is.
+   * Returns the specification of the upstream.
    *
-   * @return the traits
+   * @return the specification
    */
-  public UpstreamTraits traits() {
-    return traits;
+  public UpstreamSpec spec() {
+    return spec;
   }
 
   /**
-   * Returns its address.
+   * Returns the address that the stand-in listens on.
    *
    * @return {@code IP:PORT}
    */
@@ -113,86 +113,86 @@
   }
 
   /**
-   * Changes its faults.
+   * Replaces the simulated faults.
    *
-   * @param next the faults from now on
+   * @param newCondition the faults to simulate from now on
    */
-  public void become(UpstreamCondition next) {
-    condition = Objects.requireNonNull(next, "next is null");
-    running.forEach(w -> w.changeSpeed(next.slowdown()));
+  public void setCondition(UpstreamCondition newCondition) {
+    condition = Objects.requireNonNull(newCondition, "next is null");
+    activeExecutions.forEach(w -> w.setSlowdown(newCondition.slowdown()));
   }
 
-  /** Makes it cold, without a sign. */
-  public void turnCold() {
-    warmUpLeft.set(traits.warmUpRuns());
+  /** Makes the upstream cold without announcing it. */
+  public void makeCold() {
+    warmUpRemaining.set(spec.warmUpRequests());
   }
 
   /**
-   * Returns its faults.
+   * Returns the simulated faults.
    *
-   * @return the faults it shows now
+   * @return the current faults
    */
   public UpstreamCondition condition() {
     return condition;
   }
 
   /**
-   * Returns the requests in flight, queued ones included.
+   * Returns the number of requests in flight, including queued ones.
    *
-   * @return the true count
+   * @return the actual count
    */
   public int inFlight() {
-    return slots.inFlight();
+    return slotQueue.inFlight();
   }
 
   /**
-   * Returns the most requests in flight since the last reset.
+   * Returns the highest number of requests in flight since the last reset.
    *
-   * @return the true count
+   * @return the actual count
    */
-  public int peak() {
-    return slots.peak();
+  public int peakInFlight() {
+    return slotQueue.peakInFlight();
   }
 
   /**
-   * Returns the requests that arrived when every slot was taken, since the last reset.
+   * Returns the number of requests since the last reset that arrived while all slots were busy.
    *
-   * @return the true count
+   * @return the actual count
    */
-  public long overSlots() {
-    return slots.overSlots();
+  public long arrivalsOverCapacity() {
+    return slotQueue.arrivalsOverCapacity();
   }
 
   /**
-   * Returns the requests that were run.
+   * Returns the number of executed requests.
    *
    * @return the count since the start
    */
-  public long ran() {
-    return ran.get();
+  public long executedRequests() {
+    return executedRequests.get();
   }
 
   /**
-   * Returns the requests refused because it was cold.
+   * Returns the number of requests rejected because the upstream was cold.
    *
    * @return the count since the start
    */
-  public long rejectedCold() {
-    return rejectedCold.get();
+  public long rejectedWhileCold() {
+    return rejectedWhileCold.get();
   }
 
   /**
-   * Tells whether it is cold.
+   * Returns whether the upstream is cold.
    *
-   * @return true until it has run enough
+   * @return true until it has executed its warm-up requests
    */
   public boolean isCold() {
-    return warmUpLeft.get() > 0;
+    return warmUpRemaining.get() > 0;
   }
 
-  /** Forgets the peak and the count of requests over its slots. */
-  public void resetCounts() {
-    slots.resetCounts();
+  /** Resets the peak and the count of requests that arrived over capacity. */
+  public void resetCounters() {
+    slotQueue.resetCounters();
   }
 
   @Override
@@ -202,12 +202,12 @@
 
   private void handle(HttpServerExchange x) {
     if (x.getRequestPath().equals("/standin/condition")) {
-      changeCondition(x);
+      updateCondition(x);
       return;
     }
     UpstreamCondition c = condition;
     if (c.shedding()) {
-      refuse(x);
+      reject(x);
     } else if (c.failFast()) {
       x.setStatusCode(500);
       x.getResponseSender().send("failing fast");
@@ -217,93 +217,98 @@
   }
 
   private void admit(HttpServerExchange x) {
-    if (isCold() && slots.inFlight() >= traits.coldBears()) {
-      rejectedCold.incrementAndGet();
-      slots.arrive(slots::depart);
-      refuse(x);
+    if (isCold() && slotQueue.inFlight() >= spec.coldConcurrencyLimit()) {
+      rejectedWhileCold.incrementAndGet();
+      slotQueue.submit(slotQueue::release);
+      reject(x);
       return;
     }
-    long arrived = System.nanoTime();
+    long arrivalNanos = System.nanoTime();
     x.addResponseCommitListener(
         ex ->
             ex.getResponseHeaders()
-                .put(TIME_SPENT, TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrived)));
+                .put(
+                    PROCESSING_MICROS_HEADER,
+                    TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivalNanos)));
     x.dispatch(SameThreadExecutor.INSTANCE, () -> receiveBody(x));
   }
 
-  private void refuse(HttpServerExchange x) {
-    addLoad(x);
+  private void reject(HttpServerExchange x) {
+    addLoadHeader(x);
     x.setStatusCode(503);
-    x.getResponseHeaders().put(OUTCOME, "not-run");
+    x.getResponseHeaders().put(OUTCOME_HEADER, "not-run");
     x.getResponseSender().send("not run");
   }
 
   private void receiveBody(HttpServerExchange x) {
-    slots.arrive(
+    slotQueue.submit(
         () -> {
           // A slot may become free on another connection's thread.
           x.getIoThread()
-              .execute(() -> BodyCounter.count(x, bytes -> run(x, bytes), slots::depart));
+              .execute(
+                  () ->
+                      BodyCounter.count(x, bytes -> startExecution(x, bytes), slotQueue::release));
         });
   }
 
-  private void run(HttpServerExchange x, long bodyBytes) {
-    ran.incrementAndGet();
-    String id = x.getRequestHeaders().getFirst(REQUEST_ID);
-    runs.ran(id == null ? "" : id);
-    warmUpLeft.updateAndGet(n -> Math.max(0, n - 1));
-    boolean silent = condition.silent();
-    var work = new Work(x.getIoThread(), drawMs(), condition.slowdown());
-    running.add(work);
-    work.start(
+  private void startExecution(HttpServerExchange x, long bodyBytes) {
+    executedRequests.incrementAndGet();
+    String id = x.getRequestHeaders().getFirst(REQUEST_ID_HEADER);
+    executionCounter.recordExecution(id == null ? "" : id);
+    warmUpRemaining.updateAndGet(n -> Math.max(0, n - 1));
+    boolean neverResponds = condition.unresponsive();
+    var execution = new Execution(x.getIoThread(), sampleServiceMs(), condition.slowdown());
+    activeExecutions.add(execution);
+    execution.start(
         () -> {
-          running.remove(work);
-          if (silent) {
-            slots.depart();
+          activeExecutions.remove(execution);
+          if (neverResponds) {
+            slotQueue.release();
           } else {
-            answer(x, id, bodyBytes);
+            respond(x, id, bodyBytes);
           }
         });
   }
 
-  private double drawMs() {
+  private double sampleServiceMs() {
     double gaussian;
     synchronized (random) {
       gaussian = random.nextGaussian();
     }
-    return traits.serviceMs() * Math.exp(traits.spread() * gaussian);
+    return spec.medianServiceMs() * Math.exp(spec.serviceTimeSigma() * gaussian);
   }
 
-  private void answer(
+  private void respond(
       HttpServerExchange x, @org.jspecify.annotations.Nullable String id, long bodyBytes) {
-    slots.depart();
-    addLoad(x);
+    slotQueue.release();
+    addLoadHeader(x);
     String path = x.getRequestPath();
     if (path.startsWith(BYTES_PATH)) {
-      GeneratedBody.send(x, Long.parseLong(path.substring(BYTES_PATH.length())), condition.cut());
+      GeneratedBody.send(
+          x, Long.parseLong(path.substring(BYTES_PATH.length())), condition.truncatesResponses());
       return;
     }
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     byte[] body =
         Json.bytes(
             Json.object()
-                .put("service", traits.service())
-                .put("data_centre", traits.dataCentre())
+                .put("service", spec.service())
+                .put("data_centre", spec.dataCentre())
                 .put("upstream", address())
                 .put("method", x.getRequestMethod().toString())
                 .put("path", path)
                 .put("request_id", id)
-                .put("deadline_ms", x.getRequestHeaders().getFirst(DEADLINE))
-                .put("retry", x.getRequestHeaders().contains(RETRY))
+                .put("deadline_ms", x.getRequestHeaders().getFirst(DEADLINE_HEADER))
+                .put("retry", x.getRequestHeaders().contains(RETRY_HEADER))
                 .put("body_bytes", bodyBytes));
-    if (condition.cut() || condition.stall()) {
-      sendHalf(x, body, condition.cut());
+    if (condition.truncatesResponses() || condition.stallsResponses()) {
+      sendHalfBody(x, body, condition.truncatesResponses());
       return;
     }
     x.getResponseSender().send(ByteBuffer.wrap(body));
   }
 
-  private static void sendHalf(HttpServerExchange x, byte[] body, boolean thenClose) {
+  private static void sendHalfBody(HttpServerExchange x, byte[] body, boolean closeAfterwards) {
     x.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.length);
     ByteBuffer half = ByteBuffer.wrap(body, 0, body.length / 2);
     try {
@@ -313,28 +318,28 @@
     } catch (java.io.IOException e) {
       IoUtils.safeClose(x.getConnection());
     }
-    if (thenClose) {
+    if (closeAfterwards) {
       IoUtils.safeClose(x.getConnection());
     }
   }
 
-  private void addLoad(HttpServerExchange x) {
+  private void addLoadHeader(HttpServerExchange x) {
     String state = condition.leaving() ? "leaving" : isCold() ? "cold" : "warm";
     x.getResponseHeaders()
         .put(
-            LOAD,
-            "in-flight=" + slots.inFlight() + ", slots=" + traits.slots() + ", state=" + state);
+            LOAD_HEADER,
+            "in-flight=" + slotQueue.inFlight() + ", slots=" + spec.slots() + ", state=" + state);
   }
 
-  private void changeCondition(HttpServerExchange x) {
+  private void updateCondition(HttpServerExchange x) {
     x.getRequestReceiver()
         .receiveFullBytes(
             (ex, bytes) -> {
               JsonNode n = Json.parse(bytes).orElse(Json.object());
               if (n.path("cold").asBoolean()) {
-                turnCold();
+                makeCold();
               }
-              become(
+              setCondition(
                   new UpstreamCondition(
                       n.path("slowdown").asDouble(1),
                       n.path("fail_fast").asBoolean(),
--- a/standin/src/main/java/dev/cactusstack/standin/package-info.java
+++ b/standin/src/main/java/dev/cactusstack/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for what surrounds the system: the platform and the upstreams. For tests, experiments
- * and {@code --embedded}; nothing else depends on this package.
+ * Stand-ins that simulate the platform and the upstreams, for tests, experiments and {@code
+ * --embedded}. Nothing else depends on this package.
  */
 @NullMarked
 package dev.cactusstack.standin;
