--- a/bench/src/main/java/dev/cactusstack/bench/AtMostOnceScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/AtMostOnceScenario.java
@@ -95,7 +95,7 @@
   private void recordResult(BenchCluster cluster, String id, CallResult r) {
     if (r.isOk()) {
       served.incrementAndGet();
-      JsonNode n = Json.parse(r.body()).orElse(Json.object());
+      JsonNode n = Json.parse(r.body()).orElse(Json.newObject());
       truncated.addAndGet(n.isEmpty() ? 1 : 0);
       wrongResponses.addAndGet(!n.isEmpty() && !n.path("request_id").asText().equals(id) ? 1 : 0);
       return;
--- a/bench/src/main/java/dev/cactusstack/bench/BenchCluster.java
+++ b/bench/src/main/java/dev/cactusstack/bench/BenchCluster.java
@@ -51,7 +51,7 @@
     entryPolicy =
         new EntryHostPolicy(
             client,
-            embeddedHosts.hosts().stream().map(h -> h.callersAddress().toString()).toList());
+            embeddedHosts.hosts().stream().map(h -> h.callerAddress().toString()).toList());
   }
 
   /** Starts a cluster whose upstreams respond within about two milliseconds, for many requests. */
@@ -95,7 +95,7 @@
     var out = new ByteArrayOutputStream();
     var arguments = new ArrayList<String>();
     arguments.add("--operators");
-    arguments.add(hosts().get(host).operatorsAddress().toString());
+    arguments.add(hosts().get(host).operatorAddress().toString());
     arguments.addAll(List.of(args));
     var stream = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code = CtlMain.run(arguments.toArray(new String[0]), Map.of(), stream, stream);
--- a/bench/src/main/java/dev/cactusstack/bench/ControlCostScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ControlCostScenario.java
@@ -47,10 +47,10 @@
   static Cost measure(BenchOptions o) throws InterruptedException {
     try (var cluster = new BenchCluster(o, "")) {
       cluster.runLoad(o, UTILIZATION, WARM_UP_SECONDS, o.seed());
-      long linkBytesBefore = cluster.hosts().stream().mapToLong(EntryHost::linkBytes).sum();
+      long linkBytesBefore = cluster.hosts().stream().mapToLong(EntryHost::linkBytesSent).sum();
       long crossBytesBefore =
-          cluster.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum();
-      long droppedBefore = cluster.hosts().stream().mapToLong(EntryHost::linkRefused).sum();
+          cluster.hosts().stream().mapToLong(EntryHost::crossDataCentreBytesSent).sum();
+      long droppedBefore = cluster.hosts().stream().mapToLong(EntryHost::linkMessagesDropped).sum();
       long platformBytesBefore = cluster.standIns.platform().responseBytes();
       long cpuNanosBefore = controlCpuNanos();
       long start = System.nanoTime();
@@ -58,15 +58,15 @@
       double hostSeconds = (System.nanoTime() - start) / 1e9 * cluster.hosts().size();
       return new Cost(
           cluster.hosts().size(),
-          (cluster.hosts().stream().mapToLong(EntryHost::linkBytes).sum() - linkBytesBefore)
+          (cluster.hosts().stream().mapToLong(EntryHost::linkBytesSent).sum() - linkBytesBefore)
               / hostSeconds,
           (cluster.standIns.platform().responseBytes() - platformBytesBefore) / hostSeconds,
-          (cluster.hosts().stream().mapToLong(EntryHost::crossDataCentreBytes).sum()
+          (cluster.hosts().stream().mapToLong(EntryHost::crossDataCentreBytesSent).sum()
                   - crossBytesBefore)
               / hostSeconds,
           (controlCpuNanos() - cpuNanosBefore) / 1e9 / hostSeconds,
-          cluster.hosts().stream().mapToLong(EntryHost::linkRefused).sum() - droppedBefore,
-          cluster.hosts().get(0).settings().link().bytesPerSecond());
+          cluster.hosts().stream().mapToLong(EntryHost::linkMessagesDropped).sum() - droppedBefore,
+          cluster.hosts().get(0).settings().link().maxBytesPerSecond());
     }
   }
 
--- a/bench/src/main/java/dev/cactusstack/bench/EntryHostPolicy.java
+++ b/bench/src/main/java/dev/cactusstack/bench/EntryHostPolicy.java
@@ -99,7 +99,7 @@
   }
 
   private static CachedLookup parse(byte[] body) {
-    JsonNode n = Json.parse(body).orElse(Json.object());
+    JsonNode n = Json.parse(body).orElse(Json.newObject());
     var addresses = new ArrayList<String>();
     n.path("entries").forEach(e -> addresses.add(e.path("address").asText()));
     long ttl = n.path("ttl_ms").asLong() * 1_000_000L;
--- a/bench/src/main/java/dev/cactusstack/bench/HostOverheadScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/HostOverheadScenario.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.embedded.EmbeddedHosts;
 import dev.cactusstack.embedded.FreePorts;
 import dev.cactusstack.embedded.StandInEnvironment;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.standin.Deployment;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -42,7 +42,7 @@
       if (!hosts.awaitReady(READY_TIMEOUT_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
-      String host = hosts.hosts().get(0).callersAddress().toString();
+      String host = hosts.hosts().get(0).callerAddress().toString();
       String directAddress = standIns.upstreams().get(0).address();
       measureLatency(client, host, WARM_UP_SECONDS);
       measureLatency(client, directAddress, WARM_UP_SECONDS);
@@ -82,14 +82,14 @@
       if (!hosts.awaitReady(READY_TIMEOUT_MS)) {
         throw new IllegalStateException("the entry host is not ready");
       }
-      String host = hosts.hosts().get(0).callersAddress().toString();
+      String host = hosts.hosts().get(0).callerAddress().toString();
       measureCallsPerCore(client, host, WARM_UP_SECONDS, "XNIO-");
       return measureCallsPerCore(client, host, o.seconds(), "XNIO-");
     }
   }
 
   private static Undertow emptyServer() {
-    XnioWorker worker = Workers.daemon("empty", 2);
+    XnioWorker worker = XnioWorkers.createDaemonWorker("empty", 2);
     Undertow u =
         Undertow.builder()
             .addHttpListener(FreePorts.next(), "127.0.0.1")
--- a/bench/src/main/java/dev/cactusstack/bench/LoadClient.java
+++ b/bench/src/main/java/dev/cactusstack/bench/LoadClient.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.bench;
 
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import io.undertow.UndertowOptions;
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
@@ -59,7 +59,7 @@
 
   LoadClient(int threadCount, long timeoutMs) {
     this.timeoutMs = timeoutMs;
-    worker = Workers.daemon("callers", threadCount);
+    worker = XnioWorkers.createDaemonWorker("callers", threadCount);
     idleConnections = new HashMap<>();
     threads = new XnioIoThread[threadCount];
     for (int i = 0; i < threadCount; i++) {
--- a/bench/src/main/java/dev/cactusstack/bench/RoutingStateBenchmark.java
+++ b/bench/src/main/java/dev/cactusstack/bench/RoutingStateBenchmark.java
@@ -9,7 +9,7 @@
 import dev.cactusstack.host.control.ControlLoop;
 import dev.cactusstack.host.control.Controllers;
 import dev.cactusstack.host.control.MembershipController;
-import dev.cactusstack.host.control.RatesController;
+import dev.cactusstack.host.control.ArrivalRateController;
 import dev.cactusstack.host.control.UpstreamsController;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.model.Address;
@@ -66,7 +66,7 @@
             Ticker.SYSTEM,
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY,
             256);
-    var rates = new RatesController(new ArrivalCounter(), members, Ticker.SYSTEM);
+    var rates = new ArrivalRateController(new ArrivalCounter(), members, Ticker.SYSTEM);
     var controllers = new Controllers(loop, members, configuration, upstreams, rates);
     loop.start();
     TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public synchronized CompletableFuture<ConfigurationTable> changesAfter(long revision) {
+    public synchronized CompletableFuture<ConfigurationTable> readChanges(long revision) {
       if (revision == 0) {
         return CompletableFuture.completedFuture(first);
       }
@@ -181,7 +181,7 @@
     @Override
     public CompletableFuture<CommitOutcome> commit(
         List<Route> routes, List<DataCentreRow> dataCentres) {
-      return CompletableFuture.completedFuture(new CommitOutcome.Refused("read only"));
+      return CompletableFuture.completedFuture(new CommitOutcome.Rejected("read only"));
     }
   }
 }
--- a/bench/src/main/java/dev/cactusstack/bench/ShutdownScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/ShutdownScenario.java
@@ -46,7 +46,7 @@
 
   private static BackgroundTask<Integer> startShutdown(EntryHost h, AtomicLong inFlight) {
     inFlight.addAndGet(h.inFlight());
-    return BackgroundTask.start("leave-one", h::leave);
+    return BackgroundTask.start("leave-one", h::shutDownGracefully);
   }
 
   /** Returns the seconds from listing an upstream as leaving to its last received request. */
--- a/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
+++ b/bench/src/main/java/dev/cactusstack/bench/StandInCommands.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.cactusstack.http.Json;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.standin.ExecutionCounter;
 import dev.cactusstack.standin.PlatformStandIn;
 import dev.cactusstack.standin.UpstreamSpec;
@@ -42,7 +42,7 @@
   }
 
   static void upstream(OptionSet o) throws Exception {
-    XnioWorker worker = Workers.daemon("upstream", 1);
+    XnioWorker worker = XnioWorkers.createDaemonWorker("upstream", 1);
     var spec =
         new UpstreamSpec(
             (String) o.valueOf("service"),
--- a/bench/src/main/java/dev/cactusstack/bench/TailLatencyScenario.java
+++ b/bench/src/main/java/dev/cactusstack/bench/TailLatencyScenario.java
@@ -58,7 +58,7 @@
         }
         var policy =
             new EntryHostPolicy(
-                client, hosts.hosts().stream().map(h -> h.callersAddress().toString()).toList());
+                client, hosts.hosts().stream().map(h -> h.callerAddress().toString()).toList());
         LoadPhase light = new LoadPhase();
         light.execute(
             ArrivalPlanner.plan(
--- a/ctl/src/main/java/dev/cactusstack/ctl/CommandEnd.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/CommandResult.java
@@ -6,27 +6,27 @@
 /**
  * What a command prints and how it ends. Immutable and thread-safe.
  *
- * @param code how it ended
+ * @param exitCode how it ended
  * @param output lines for standard output
  * @param errors lines for standard error
  */
-record CommandEnd(ExitCode code, List<String> output, List<String> errors) {
-  CommandEnd {
-    Objects.requireNonNull(code, "code is null");
+record CommandResult(ExitCode exitCode, List<String> output, List<String> errors) {
+  CommandResult {
+    Objects.requireNonNull(exitCode, "code is null");
     output = List.copyOf(output);
     errors = List.copyOf(errors);
   }
 
-  static CommandEnd done(List<String> output) {
-    return new CommandEnd(ExitCode.DONE, output, List.of());
+  static CommandResult succeeded(List<String> output) {
+    return new CommandResult(ExitCode.SUCCESS, output, List.of());
   }
 
-  static CommandEnd invalid(String message, String remedy) {
+  static CommandResult invalid(String message, String remedy) {
     return failed(ExitCode.INVALID, "invalid", message, remedy);
   }
 
-  static CommandEnd failed(ExitCode code, String outcome, String message, String remedy) {
-    return new CommandEnd(
+  static CommandResult failed(ExitCode code, String outcome, String message, String remedy) {
+    return new CommandResult(
         code,
         List.of(),
         List.of("outcome=" + outcome + " reason=" + quote(message) + " remedy=" + quote(remedy)));
--- a/ctl/src/main/java/dev/cactusstack/ctl/CtlMain.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/CtlMain.java
@@ -1,8 +1,8 @@
 package dev.cactusstack.ctl;
 
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.Result;
 import java.io.IOException;
@@ -55,35 +55,35 @@
   public static int run(
       String[] args, Map<String, String> environment, PrintStream out, PrintStream err) {
     Objects.requireNonNull(args, "args is null");
-    CommandEnd end;
+    CommandResult result;
     try {
-      end = parseAndRun(args, environment, out);
+      result = parseAndRun(args, environment, out);
     } catch (OptionException e) {
-      end = CommandEnd.invalid(String.valueOf(e.getMessage()), "see --help");
-    } catch (HttpFailure e) {
-      end = unanswered(e);
+      result = CommandResult.invalid(String.valueOf(e.getMessage()), "see --help");
+    } catch (HttpException e) {
+      result = requestFailed(e);
     } catch (IOException | GeneralSecurityException e) {
-      end = CommandEnd.invalid(String.valueOf(e.getMessage()), "check the file's name and content");
+      result = CommandResult.invalid(String.valueOf(e.getMessage()), "check the file's name and content");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      end = CommandEnd.invalid("interrupted", "run the command again");
+      result = CommandResult.invalid("interrupted", "run the command again");
     }
-    end.output().forEach(out::println);
-    end.errors().forEach(err::println);
-    return end.code().code();
+    result.output().forEach(out::println);
+    result.errors().forEach(err::println);
+    return result.exitCode().code();
   }
 
-  private static CommandEnd unanswered(HttpFailure e) {
-    return CommandEnd.failed(
+  private static CommandResult requestFailed(HttpException e) {
+    return CommandResult.failed(
         ExitCode.NOT_ACCEPTED_OR_UNKNOWN,
-        e.mayBeProcessed() ? "unknown" : "not-accepted",
+        e.mayHaveBeenProcessed() ? "unknown" : "not-accepted",
         String.valueOf(e.getMessage()),
-        e.mayBeProcessed()
+        e.mayHaveBeenProcessed()
             ? "repeat the command with --operation and the same id, or look at 'table show' first"
             : "nothing was changed; name other hosts with --operators");
   }
 
-  private static CommandEnd parseAndRun(
+  private static CommandResult parseAndRun(
       String[] args, Map<String, String> environment, PrintStream out)
       throws IOException, GeneralSecurityException, InterruptedException {
     var options = new CtlOptions();
@@ -91,7 +91,7 @@
     if (o.has("help")) {
       out.print(CtlOptions.USAGE);
       options.parser().printHelpOn(out);
-      return CommandEnd.done(List.of());
+      return CommandResult.succeeded(List.of());
     }
     List<String> words = o.nonOptionArguments().stream().map(String::valueOf).toList();
     if (!words.isEmpty() && words.get(0).equals("explain")) {
@@ -99,15 +99,15 @@
     }
     Result<List<Address>> hosts = options.addresses(o);
     if (hosts instanceof Result.Failure<List<Address>> f) {
-      return CommandEnd.invalid(f.problem().message(), f.problem().remedy());
+      return CommandResult.invalid(f.problem().message(), f.problem().remedy());
     }
-    Optional<SSLContext> tls = trust(options.certificate(o));
-    XnioWorker worker = Workers.daemon("ctl", 1);
+    Optional<SSLContext> tls = trustedContext(options.certificate(o));
+    XnioWorker worker = XnioWorkers.createDaemonWorker("ctl", 1);
     try {
       List<Address> addresses = hosts.fold(p -> List.<Address>of(), a -> a);
       var api =
-          new OperatorsApi(
-              new HttpCaller(worker, tls),
+          new OperatorApiClient(
+              new HttpClient(worker, tls),
               tls.isPresent(),
               addresses,
               Optional.ofNullable(environment.get(TOKEN_VARIABLE)));
@@ -117,7 +117,7 @@
     }
   }
 
-  private static CommandEnd explain(List<String> words) throws IOException {
+  private static CommandResult explain(List<String> words) throws IOException {
     if (words.size() < 2) {
       return usage("explain REQUEST-ID [FILE...]");
     }
@@ -125,39 +125,39 @@
     return new ExplainCommand(words.get(1)).run(files, System.in);
   }
 
-  private static CommandEnd command(
-      List<String> words, OperatorsApi api, CtlOptions options, OptionSet o, PrintStream out)
+  private static CommandResult command(
+      List<String> words, OperatorApiClient api, CtlOptions options, OptionSet o, PrintStream out)
       throws InterruptedException {
-    var table = new TableCommands(api, options.edit(o));
-    var watch = new WatchCommands(api);
+    var tableCommands = new TableCommands(api, options.edit(o));
+    var statusCommands = new StatusCommands(api);
     String command = String.join(" ", words.subList(0, Math.min(2, words.size())));
     int count = words.size();
     return switch (command) {
-      case "table show" -> table.show(options.format(o));
+      case "table show" -> tableCommands.show(options.format(o));
       case "table set" ->
           count < 4
               ? usage("table set SERVICE DATA_CENTRE COLUMN=N...")
-              : table.set(words.get(2), words.get(3), words.subList(4, count));
+              : tableCommands.set(words.get(2), words.get(3), words.subList(4, count));
       case "table apply" ->
-          count != 3 ? usage("table apply FILE") : table.apply(Path.of(words.get(2)));
-      case "table watch" -> watch.watch(options.once(o), options.timeoutMs(o), out);
+          count != 3 ? usage("table apply FILE") : tableCommands.apply(Path.of(words.get(2)));
+      case "table watch" -> statusCommands.watch(options.once(o), options.timeoutMs(o), out);
       case "data-centre out", "data-centre in" ->
           count != 3
               ? usage(command + " NAME")
-              : table.moveDataCentre(words.get(2), words.get(1).equals("out"));
-      case "status" -> watch.status(options.format(o));
+              : tableCommands.setEvacuated(words.get(2), words.get(1).equals("out"));
+      case "status" -> statusCommands.status(options.format(o));
       default ->
-          CommandEnd.invalid(
+          CommandResult.invalid(
               command.isEmpty() ? "no command is given" : "'" + command + "' is not a command",
               "see --help");
     };
   }
 
-  private static CommandEnd usage(String form) {
-    return CommandEnd.invalid("the command is not complete", "write: cactusctl " + form);
+  private static CommandResult usage(String form) {
+    return CommandResult.invalid("the command is not complete", "write: cactusctl " + form);
   }
 
-  private static Optional<SSLContext> trust(Optional<String> certificate)
+  private static Optional<SSLContext> trustedContext(Optional<String> certificate)
       throws IOException, GeneralSecurityException {
     if (certificate.isEmpty()) {
       return Optional.empty();
--- a/ctl/src/main/java/dev/cactusstack/ctl/ExitCode.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/ExitCode.java
@@ -2,7 +2,7 @@
 
 /** How a command ended. Immutable and thread-safe. */
 enum ExitCode {
-  DONE(0),
+  SUCCESS(0),
   INVALID(2),
   CONFLICT(3),
   NOT_ACCEPTED_OR_UNKNOWN(4),
--- a/ctl/src/main/java/dev/cactusstack/ctl/ExplainCommand.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/ExplainCommand.java
@@ -24,13 +24,13 @@
  * scheduled it, and what these believed of configuration and upstreams. Confined to one thread.
  */
 final class ExplainCommand {
-  private static final Duration CLOCKS_APART = Duration.ofSeconds(2);
+  private static final Duration MAX_CLOCK_SKEW = Duration.ofSeconds(2);
 
-  private final List<Kept> decisions = new ArrayList<>();
-  private final List<Kept> news = new ArrayList<>();
-  private final List<LogLine> own = new ArrayList<>();
+  private final List<UnparsedLine> decisions = new ArrayList<>();
+  private final List<UnparsedLine> stateChanges = new ArrayList<>();
+  private final List<LogLine> requestEvents = new ArrayList<>();
   private final String id;
-  private long lines;
+  private long lineCount;
 
   ExplainCommand(String id) {
     this.id = id;
@@ -44,7 +44,7 @@
    * @return the request's life, one line for each event
    * @throws IOException if a file can't be read
    */
-  CommandEnd run(List<Path> files, InputStream in) throws IOException {
+  CommandResult run(List<Path> files, InputStream in) throws IOException {
     if (files.isEmpty()) {
       read(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8)), "input");
     }
@@ -53,71 +53,71 @@
         read(r, String.valueOf(f.getFileName()));
       }
     }
-    if (own.isEmpty()) {
-      return CommandEnd.invalid(
-          "no line of request " + id + " in " + lines + " lines", "give the logs of all hosts");
+    if (requestEvents.isEmpty()) {
+      return CommandResult.invalid(
+          "no line of request " + id + " in " + lineCount + " lines", "give the logs of all hosts");
     }
-    return CommandEnd.done(tell());
+    return CommandResult.succeeded(timeline());
   }
 
   /** Keeps the lines that may matter, unparsed, so that large logs fit into a small heap. */
   private void read(BufferedReader r, String file) throws IOException {
     String host = file;
     for (String line = r.readLine(); line != null; line = r.readLine()) {
-      lines++;
+      lineCount++;
       if (line.contains(" event=started ")) {
-        host = LogLine.parse(line, host, lines).map(l -> l.field("host")).orElse(host);
+        host = LogLine.parse(line, host, lineCount).map(l -> l.field("host")).orElse(host);
       } else if (line.contains(" id=" + id + " ") || line.endsWith(" id=" + id)) {
-        LogLine.parse(line, host, lines).ifPresent(own::add);
+        LogLine.parse(line, host, lineCount).ifPresent(requestEvents::add);
       } else if (line.contains(" event=decided ")) {
-        decisions.add(new Kept(line, host, lines));
+        decisions.add(new UnparsedLine(line, host, lineCount));
       } else if (line.contains(" event=configuration ") || line.contains(" event=upstream ")) {
-        news.add(new Kept(line, host, lines));
+        stateChanges.add(new UnparsedLine(line, host, lineCount));
       }
     }
   }
 
-  private List<String> tell() {
-    Instant first = own.get(0).time();
-    Instant last = own.get(own.size() - 1).time();
-    Set<LogLine> told = new HashSet<>(own);
+  private List<String> timeline() {
+    Instant first = requestEvents.get(0).time();
+    Instant last = requestEvents.get(requestEvents.size() - 1).time();
+    Set<LogLine> relevant = new HashSet<>(requestEvents);
     Set<String> upstreams = new HashSet<>();
-    for (LogLine l : own) {
+    for (LogLine l : requestEvents) {
       if (l.is("sent")) {
         upstreams.add(l.field("upstream"));
-        String ask = " asker=" + l.host().hashCode() + " ask=" + l.field("ask") + ' ';
+        String placementKey = " asker=" + l.host().hashCode() + " ask=" + l.field("ask") + ' ';
         // A host that starts again numbers its asks from the start.
         decisions.stream()
-            .filter(d -> d.line().contains(ask))
+            .filter(d -> d.line().contains(placementKey))
             .flatMap(d -> d.parse().stream())
-            .filter(d -> d.time().isAfter(first.minus(CLOCKS_APART)))
-            .filter(d -> d.time().isBefore(last.plus(CLOCKS_APART)))
-            .forEach(told::add);
+            .filter(d -> d.time().isAfter(first.minus(MAX_CLOCK_SKEW)))
+            .filter(d -> d.time().isBefore(last.plus(MAX_CLOCK_SKEW)))
+            .forEach(relevant::add);
       }
     }
-    Map<String, LogLine> believed = believed(told, upstreams, first);
-    return Stream.concat(told.stream(), believed.values().stream())
-        .sorted(Comparator.comparing(LogLine::time).thenComparing(LogLine::order))
-        .map(l -> (told.contains(l) ? "" : "believed ") + "host=" + l.host() + " " + l.text())
+    Map<String, LogLine> knownStates = lastKnownStates(relevant, upstreams, first);
+    return Stream.concat(relevant.stream(), knownStates.values().stream())
+        .sorted(Comparator.comparing(LogLine::time).thenComparing(LogLine::sequence))
+        .map(l -> (relevant.contains(l) ? "" : "believed ") + "host=" + l.host() + " " + l.text())
         .toList();
   }
 
   /** Finds the last that each host had heard of the configuration and of the upstreams. */
-  private Map<String, LogLine> believed(Set<LogLine> told, Set<String> upstreams, Instant first) {
+  private Map<String, LogLine> lastKnownStates(Set<LogLine> relevant, Set<String> upstreams, Instant first) {
     Set<String> hosts = new HashSet<>();
-    told.forEach(l -> hosts.add(l.host()));
-    Map<String, LogLine> out = new HashMap<>();
-    for (Kept k : news) {
+    relevant.forEach(l -> hosts.add(l.host()));
+    Map<String, LogLine> latest = new HashMap<>();
+    for (UnparsedLine k : stateChanges) {
       k.parse()
           .filter(l -> l.is("configuration") || upstreams.contains(l.field("id")))
           .filter(l -> hosts.contains(l.host()) && !l.time().isAfter(first))
-          .ifPresent(l -> out.put(l.host() + l.field("event") + l.field("id"), l));
+          .ifPresent(l -> latest.put(l.host() + l.field("event") + l.field("id"), l));
     }
-    return out;
+    return latest;
   }
 
   /** A line that may matter. */
-  private record Kept(String line, String host, long order) {
+  private record UnparsedLine(String line, String host, long order) {
     Optional<LogLine> parse() {
       return LogLine.parse(line, host, order);
     }
--- a/ctl/src/main/java/dev/cactusstack/ctl/LogLine.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/LogLine.java
@@ -14,11 +14,11 @@
  *
  * @param host the name of the host that wrote it, or of the file when the host isn't known
  * @param time when the host wrote it, by the host's own clock
- * @param order the place of the line among all that were read
+ * @param sequence the place of the line among all that were read
  * @param fields the pairs, {@code time} and {@code event} among them
  * @param text the line from its time on
  */
-record LogLine(String host, Instant time, long order, Map<String, String> fields, String text) {
+record LogLine(String host, Instant time, long sequence, Map<String, String> fields, String text) {
   private static final Pattern PAIR = Pattern.compile("(\\w+)=(\"(?:[^\"\\\\]|\\\\.)*\"|\\S*)");
   private static final String TIME = "time=";
 
@@ -34,25 +34,25 @@
    * @param line the line
    * @param host the host as far as it is known
    * @param time when the host wrote it, by the host's own clock
-   * @param order the place of the line
+   * @param sequence the place of the line
    * @return the event, or nothing when the line isn't one
    */
-  static Optional<LogLine> parse(String line, String host, long order) {
-    int at = line.indexOf(TIME);
-    if (at < 0 || !line.contains(" event=")) {
+  static Optional<LogLine> parse(String line, String host, long sequence) {
+    int timeStart = line.indexOf(TIME);
+    if (timeStart < 0 || !line.contains(" event=")) {
       return Optional.empty();
     }
-    String[] before = line.substring(0, at).trim().split("\\s+");
-    String last = before[before.length - 1];
-    String text = line.substring(at);
+    String[] prefixWords = line.substring(0, timeStart).trim().split("\\s+");
+    String lastPrefixWord = prefixWords[prefixWords.length - 1];
+    String text = line.substring(timeStart);
     Map<String, String> fields = new HashMap<>();
     for (Matcher m = PAIR.matcher(text); m.find(); ) {
       fields.putIfAbsent(m.group(1), unquoted(m.group(2)));
     }
-    String name = last.isEmpty() ? host : last;
+    String name = lastPrefixWord.isEmpty() ? host : lastPrefixWord;
     try {
       Instant time = Instant.parse(fields.getOrDefault("time", ""));
-      return Optional.of(new LogLine(name, time, order, fields, text));
+      return Optional.of(new LogLine(name, time, sequence, fields, text));
     } catch (DateTimeParseException notAnEvent) {
       return Optional.empty();
     }
--- a/ctl/src/main/java/dev/cactusstack/ctl/Replies.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/ResponseMapper.java
@@ -1,33 +1,33 @@
 package dev.cactusstack.ctl;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.cactusstack.ctl.OperatorsApi.Answer;
+import dev.cactusstack.ctl.OperatorApiClient.ApiResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 
 /** Turns answers of entry hosts into ends of commands. Stateless. */
-final class Replies {
+final class ResponseMapper {
   private static final int UNAUTHORIZED = 401;
   private static final int NOT_FOUND = 404;
   private static final int BAD_REQUEST = 400;
 
-  private Replies() {}
+  private ResponseMapper() {}
 
   /** The end that an answer forces, when it is not the one hoped for. */
-  static Optional<CommandEnd> fault(Answer a) {
+  static Optional<CommandResult> error(ApiResponse a) {
     if (a.status() < BAD_REQUEST) {
       return Optional.empty();
     }
     return Optional.of(
-        CommandEnd.failed(
-            codeOf(a.status()),
+        CommandResult.failed(
+            exitCodeOf(a.status()),
             outcomeOf(a),
             a.body().path("message").asText(),
             a.body().path("remedy").asText()));
   }
 
-  private static ExitCode codeOf(int status) {
+  private static ExitCode exitCodeOf(int status) {
     return switch (status) {
       case UNAUTHORIZED -> ExitCode.NOT_AUTHORISED;
       case BAD_REQUEST, NOT_FOUND -> ExitCode.INVALID;
@@ -35,23 +35,23 @@
     };
   }
 
-  private static String outcomeOf(Answer a) {
+  private static String outcomeOf(ApiResponse a) {
     return a.status() == UNAUTHORIZED
         ? "not-authorised"
         : a.body().path("outcome").asText("not-accepted");
   }
 
-  static CommandEnd edit(Answer a) {
+  static CommandResult editResult(ApiResponse a) {
     JsonNode b = a.body();
     return switch (b.path("outcome").asText()) {
       case "accepted" ->
-          CommandEnd.done(List.of("outcome=accepted version=" + b.path("version").asLong()));
+          CommandResult.succeeded(List.of("outcome=accepted version=" + b.path("version").asLong()));
       case "conflict" -> conflict(b);
       default ->
-          fault(a)
+          error(a)
               .orElseGet(
                   () ->
-                      CommandEnd.failed(
+                      CommandResult.failed(
                           ExitCode.NOT_ACCEPTED_OR_UNKNOWN,
                           "unknown",
                           "the host's answer is not understood",
@@ -59,7 +59,7 @@
     };
   }
 
-  private static CommandEnd conflict(JsonNode b) {
+  private static CommandResult conflict(JsonNode b) {
     var lines = new ArrayList<String>();
     lines.add(
         "outcome=conflict reason=\"another edit was first; nothing was changed\""
@@ -68,7 +68,7 @@
       lines.add("mine:   " + row(c.path("mine")));
       lines.add("theirs: " + row(c.path("theirs")));
     }
-    return new CommandEnd(ExitCode.CONFLICT, List.of(), lines);
+    return new CommandResult(ExitCode.CONFLICT, List.of(), lines);
   }
 
   private static String row(JsonNode n) {
--- a/ctl/src/main/java/dev/cactusstack/ctl/WatchCommands.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/StatusCommands.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import dev.cactusstack.ctl.OperatorsApi.Answer;
+import dev.cactusstack.ctl.OperatorApiClient.ApiResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
 import java.io.PrintStream;
@@ -12,42 +12,42 @@
 import java.util.concurrent.TimeUnit;
 
 /** The commands that show the state of the hosts. Stateless but for the hosts they talk to. */
-final class WatchCommands {
-  private static final long INTERVAL_MS = 250;
+final class StatusCommands {
+  private static final long POLL_INTERVAL_MS = 250;
 
-  private final OperatorsApi api;
+  private final OperatorApiClient api;
 
-  WatchCommands(OperatorsApi api) {
+  StatusCommands(OperatorApiClient api) {
     this.api = api;
   }
 
   /** Prints a line for each change; ends when all hosts agree, if {@code once}. */
-  CommandEnd watch(boolean once, long timeoutMs, PrintStream out) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
-    String last = "";
+  CommandResult watch(boolean once, long timeoutMs, PrintStream out) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    String previousLine = "";
     while (true) {
-      Answer a = api.get("/v1/in-force");
-      Optional<CommandEnd> fault = Replies.fault(a);
-      if (fault.isPresent()) {
-        return fault.get();
+      ApiResponse a = api.get("/v1/in-force");
+      Optional<CommandResult> error = ResponseMapper.error(a);
+      if (error.isPresent()) {
+        return error.get();
       }
       String line = line(a.body());
-      if (!line.equals(last)) {
+      if (!line.equals(previousLine)) {
         out.println(line);
-        last = line;
+        previousLine = line;
       }
-      boolean all = a.body().path("in_force").asInt() == a.body().path("hosts_total").asInt();
-      if (once && all) {
-        return CommandEnd.done(List.of());
+      boolean inForceEverywhere = a.body().path("in_force").asInt() == a.body().path("hosts_total").asInt();
+      if (once && inForceEverywhere) {
+        return CommandResult.succeeded(List.of());
       }
-      if (once && System.nanoTime() > end) {
-        return CommandEnd.failed(
+      if (once && System.nanoTime() > deadlineNanos) {
+        return CommandResult.failed(
             ExitCode.NOT_ACCEPTED_OR_UNKNOWN,
             "not-in-force-everywhere",
             line,
             "see 'cactusctl status' for the hosts that lag; watch again or replace them");
       }
-      TimeUnit.MILLISECONDS.sleep(INTERVAL_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
   }
 
@@ -67,38 +67,38 @@
         + (lagging.isEmpty() ? "" : " lagging=" + String.join(",", lagging));
   }
 
-  CommandEnd status(String format) {
-    Answer a = api.get("/v1/status");
-    Optional<CommandEnd> fault = Replies.fault(a);
-    if (fault.isPresent()) {
-      return fault.get();
+  CommandResult status(String format) {
+    ApiResponse a = api.get("/v1/status");
+    Optional<CommandResult> error = ResponseMapper.error(a);
+    if (error.isPresent()) {
+      return error.get();
     }
-    var silent = new ArrayList<String>();
-    ArrayNode upstreams = Json.object().putArray("upstreams");
+    var unreachableHosts = new ArrayList<String>();
+    ArrayNode upstreams = Json.newObject().putArray("upstreams");
     for (JsonNode h : a.body().path("hosts")) {
-      Optional<Answer> other =
+      Optional<ApiResponse> hostResponse =
           Address.parse(h.path("operators").asText())
-              .fold(p -> Optional.<Answer>empty(), x -> api.get(x, "/v1/status"))
-              .filter(o -> Replies.fault(o).isEmpty());
-      other.ifPresent(o -> o.body().path("upstreams").forEach(upstreams::add));
-      if (other.isEmpty()) {
-        silent.add(h.path("id").asText());
+              .fold(p -> Optional.<ApiResponse>empty(), x -> api.get(x, "/v1/status"))
+              .filter(o -> ResponseMapper.error(o).isEmpty());
+      hostResponse.ifPresent(o -> o.body().path("upstreams").forEach(upstreams::add));
+      if (hostResponse.isEmpty()) {
+        unreachableHosts.add(h.path("id").asText());
       }
     }
-    return CommandEnd.done(
+    return CommandResult.succeeded(
         format.equals("json")
-            ? json(a.body(), upstreams, silent)
-            : text(a.body(), upstreams, silent));
+            ? json(a.body(), upstreams, unreachableHosts)
+            : text(a.body(), upstreams, unreachableHosts));
   }
 
-  private static List<String> json(JsonNode body, ArrayNode upstreams, List<String> silent) {
+  private static List<String> json(JsonNode body, ArrayNode upstreams, List<String> unreachableHosts) {
     var n = (com.fasterxml.jackson.databind.node.ObjectNode) body;
     n.set("upstreams", upstreams);
-    silent.forEach(n.putArray("hosts_without_answer")::add);
+    unreachableHosts.forEach(n.putArray("hosts_without_answer")::add);
     return List.of(n.toString());
   }
 
-  private static List<String> text(JsonNode body, ArrayNode upstreams, List<String> silent) {
+  private static List<String> text(JsonNode body, ArrayNode upstreams, List<String> unreachableHosts) {
     var lines = new ArrayList<String>();
     lines.add(
         line(body)
@@ -130,7 +130,7 @@
             "limit",
             "latency_ms",
             "owner"));
-    silent.forEach(
+    unreachableHosts.forEach(
         h ->
             lines.add(
                 "note=\"not known: host "
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableFile.java
@@ -23,7 +23,7 @@
 
   static Result<List<TableRow>> parse(String text) {
     boolean json = text.stripLeading().startsWith("{");
-    return (json ? json(text) : csv(text)).flatMap(TableFile::rows).flatMap(TableFile::distinct);
+    return (json ? json(text) : csv(text)).flatMap(TableFile::rows).flatMap(TableFile::requireDistinctRows);
   }
 
   private static Result<ArrayNode> json(String text) {
@@ -48,7 +48,7 @@
               "the file's first line is not the header",
               "start from 'table show --format csv'; its header is " + String.join(",", header)));
     }
-    ArrayNode rows = Json.object().putArray("rows");
+    ArrayNode rows = Json.newObject().putArray("rows");
     for (int i = 1; i < lines.size(); i++) {
       String[] cells = lines.get(i).split(",", -1);
       if (cells.length != header.size()) {
@@ -77,7 +77,7 @@
     return Result.success(rows);
   }
 
-  private static Result<List<TableRow>> distinct(List<TableRow> rows) {
+  private static Result<List<TableRow>> requireDistinctRows(List<TableRow> rows) {
     Set<RouteKey> seen = new HashSet<>();
     for (TableRow r : rows) {
       if (!seen.add(r.key())) {
@@ -91,7 +91,7 @@
   }
 
   /** The rows that differ from the table; every row of the table must be in the file. */
-  static Result<List<TableRow>> changed(List<TableRow> file, List<TableRow> table) {
+  static Result<List<TableRow>> changedRows(List<TableRow> file, List<TableRow> table) {
     for (TableRow t : table) {
       if (file.stream().noneMatch(f -> f.key().equals(t.key()))) {
         return Result.failure(
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableFormat.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableFormat.java
@@ -29,10 +29,10 @@
   JSON {
     @Override
     List<String> render(long version, List<TableRow> rows) {
-      ObjectNode n = Json.object().put("version", version);
+      ObjectNode n = Json.newObject().put("version", version);
       ArrayNode list = n.putArray("rows");
-      rows.forEach(r -> list.add(r.json()));
-      return List.of(new String(Json.bytes(n), StandardCharsets.UTF_8));
+      rows.forEach(r -> list.add(r.toJson()));
+      return List.of(new String(Json.toBytes(n), StandardCharsets.UTF_8));
     }
   },
   /** Comma-separated values for a spreadsheet. */
--- a/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TableRow.java
@@ -54,9 +54,9 @@
     }
   }
 
-  ObjectNode json() {
+  ObjectNode toJson() {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", key.service().value())
             .put("data_centre", key.dataCentre().value());
     values.forEach((c, v) -> n.put(c.label(), v));
@@ -64,9 +64,9 @@
   }
 
   /** The row as an edit that replaces all values, if its version is still the same. */
-  ObjectNode edit() {
+  ObjectNode toEdit() {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", key.service().value())
             .put("data_centre", key.dataCentre().value())
             .put("if_version", version);
--- a/ctl/src/main/java/dev/cactusstack/ctl/TextTable.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/TextTable.java
@@ -5,7 +5,7 @@
 
 /** Aligns columns of text. Stateless. */
 final class TextTable {
-  private static final String GAP = "  ";
+  private static final String COLUMN_SEPARATOR = "  ";
 
   private TextTable() {}
 
@@ -25,7 +25,7 @@
   private static String line(List<String> row, List<Integer> widths) {
     var b = new StringBuilder();
     for (int i = 0; i < row.size(); i++) {
-      b.append(row.get(i)).append(" ".repeat(widths.get(i) - row.get(i).length())).append(GAP);
+      b.append(row.get(i)).append(" ".repeat(widths.get(i) - row.get(i).length())).append(COLUMN_SEPARATOR);
     }
     return b.toString().stripTrailing();
   }
--- a/ctl/src/test/java/dev/cactusstack/ctl/ExplainCommandTest.java
+++ b/ctl/src/test/java/dev/cactusstack/ctl/ExplainCommandTest.java
@@ -32,19 +32,19 @@
       """
           .formatted("entry-1".hashCode(), "entry-9".hashCode());
 
-  private static CommandEnd explain(String id, String text) throws IOException {
+  private static CommandResult explain(String id, String text) throws IOException {
     var in = new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8));
     return new ExplainCommand(id).run(List.of(), in);
   }
 
   @Test
-  void shouldTellEventsDecisionsAndBeliefsInOrderWhenLogsOfSeveralHostsAreGiven(@TempDir Path dir)
+  void shouldPrintEventsDecisionsAndKnownStatesInOrderWhenLogsOfSeveralHostsAreGiven(@TempDir Path dir)
       throws IOException {
     Path a = Files.writeString(dir.resolve("a.log"), ENTRY);
     Path b = Files.writeString(dir.resolve("b.log"), SCHEDULER);
-    CommandEnd end =
+    CommandResult end =
         new ExplainCommand("r1").run(List.of(a, b), new ByteArrayInputStream(new byte[0]));
-    assertThat(end.code()).isEqualTo(ExitCode.DONE);
+    assertThat(end.exitCode()).isEqualTo(ExitCode.SUCCESS);
     assertThat(end.output()).hasSize(5);
     assertThat(end.output().get(0)).startsWith("believed host=entry-1").contains("version=4");
     assertThat(end.output().get(1)).startsWith("believed host=entry-2").contains("state=serving");
@@ -56,16 +56,16 @@
   }
 
   @Test
-  void shouldTakeTheHostFromTheWordBeforeTheTimeWhenLogsWereCollected() throws IOException {
+  void shouldReadTheHostFromTheWordBeforeTheTimeWhenLogsWereCollected() throws IOException {
     String line = "time=2026-04-01T10:00:05.002Z event=refused id=r1 route=a why=no-room";
     assertThat(explain("r1", "  5.1 entry-7 " + line).output())
         .containsExactly("host=entry-7 " + line);
   }
 
   @Test
-  void shouldSayThatTheRequestIsUnknownWhenNoLineNamesIt() throws IOException {
-    CommandEnd end = explain("r9", ENTRY);
-    assertThat(end.code()).isEqualTo(ExitCode.INVALID);
+  void shouldReportAnUnknownRequestWhenNoLineContainsItsId() throws IOException {
+    CommandResult end = explain("r9", ENTRY);
+    assertThat(end.exitCode()).isEqualTo(ExitCode.INVALID);
     assertThat(end.errors().get(0)).contains("r9").contains("logs of all hosts");
   }
 }
--- a/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/EmbeddedMain.java
@@ -77,14 +77,14 @@
     EntryHost first = entryHosts.hosts().get(0);
     System.out.println(
         Event.named(ready ? "ready" : "not_ready")
-            .with("callers", first.callersAddress())
-            .with("operators", first.operatorsAddress())
+            .with("callers", first.callerAddress())
+            .with("operators", first.operatorAddress())
             .with("hosts", count)
             .with("platform", "127.0.0.1:" + standIns.platform().port())
             .with(
                 "all_callers",
                 entryHosts.hosts().stream()
-                    .map(h -> h.callersAddress().toString())
+                    .map(h -> h.callerAddress().toString())
                     .collect(Collectors.joining(","))));
     Thread.currentThread().join();
   }
--- a/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.embedded;
 
-import dev.cactusstack.settings.CheckedSettings;
+import dev.cactusstack.settings.SettingsResult;
 import dev.cactusstack.settings.HostSettings;
 import java.util.Map;
 import java.util.Objects;
@@ -67,10 +67,10 @@
    * @return the settings
    */
   public HostSettings settings(Map<String, String> environment) {
-    CheckedSettings checked = HostSettings.parse(toJson(), environment);
-    if (checked instanceof CheckedSettings.Valid v) {
+    SettingsResult checked = HostSettings.parse(toJson(), environment);
+    if (checked instanceof SettingsResult.Valid v) {
       return v.settings();
     }
-    throw new IllegalStateException(((CheckedSettings.Invalid) checked).faults().toString());
+    throw new IllegalStateException(((SettingsResult.Invalid) checked).errors().toString());
   }
 }
--- a/embedded/src/main/java/dev/cactusstack/embedded/StandInEnvironment.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/StandInEnvironment.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dev.cactusstack.http.Json;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.ListedHost;
 import dev.cactusstack.standin.Deployment;
 import dev.cactusstack.standin.ExecutionCounter;
@@ -51,7 +51,7 @@
       Deployment deployment, int scale, UnaryOperator<UpstreamSpec> modifier, long seed) {
     this.deployment = Objects.requireNonNull(deployment, "deployment is null");
     platform = PlatformStandIn.start(0);
-    worker = Workers.daemon("upstreams", UPSTREAM_THREADS);
+    worker = XnioWorkers.createDaemonWorker("upstreams", UPSTREAM_THREADS);
     var random = new Random(seed);
     for (UpstreamSpec t : deployment.upstreams(scale)) {
       var serviceTimes = new Random(random.nextLong());
@@ -89,7 +89,7 @@
   }
 
   private ArrayNode initialRows() {
-    ArrayNode writes = Json.object().putArray("writes");
+    ArrayNode writes = Json.newObject().putArray("writes");
     var slots = new TreeMap<String, Integer>();
     upstreams.forEach(
         u ->
@@ -132,7 +132,7 @@
   }
 
   private static ObjectNode hostEntry(ListedHost.Role role, String dataCentre, boolean leaving) {
-    return Json.object()
+    return Json.newObject()
         .put("role", role.name().toLowerCase(Locale.ROOT))
         .put("data_centre", dataCentre)
         .put("state", leaving ? "leaving" : "live");
--- a/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/HostFaultsTest.java
@@ -37,7 +37,7 @@
 
   @Test
   void shouldKeepServingAndExcludeTheHostFromLookupsWhenItCrashes() throws Exception {
-    String crashedAddress = cluster.host(1).callersAddress().toString();
+    String crashedAddress = cluster.host(1).callerAddress().toString();
     assertThat(entries())
         .contains(crashedAddress)
         .contains("\"ttl_ms\":5000")
@@ -62,10 +62,10 @@
               }
             });
     eventually(() -> cluster.host(2).inFlight() > 0);
-    int cutOff = cluster.host(2).leave();
+    int cutOff = cluster.host(2).shutDownGracefully();
     assertThat(cutOff).isZero();
     assertThat(slow.get()).startsWith("HTTP/1.1 200");
-    assertThat(entries()).doesNotContain(cluster.host(2).callersAddress().toString());
+    assertThat(entries()).doesNotContain(cluster.host(2).callerAddress().toString());
   }
 
   @Test
@@ -106,7 +106,7 @@
             Ticker.SYSTEM,
             InstantSource.system(),
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
-    try (var socket = new java.net.Socket("127.0.0.1", isolatedHost.callersAddress().port())) {
+    try (var socket = new java.net.Socket("127.0.0.1", isolatedHost.callerAddress().port())) {
       socket
           .getOutputStream()
           .write("GET / HTTP/1.1\r\nHost: search\r\nConnection: close\r\n\r\n".getBytes());
--- a/embedded/src/test/java/dev/cactusstack/embedded/TestCluster.java
+++ b/embedded/src/test/java/dev/cactusstack/embedded/TestCluster.java
@@ -52,7 +52,7 @@
 
   /** Sends bytes over a new connection, closes its output, and returns the whole response. */
   String sendRaw(int host, String... parts) throws IOException {
-    try (var socket = new Socket("127.0.0.1", host(host).callersAddress().port())) {
+    try (var socket = new Socket("127.0.0.1", host(host).callerAddress().port())) {
       socket.setSoTimeout((int) TIMEOUT_MS);
       for (String p : parts) {
         socket.getOutputStream().write(p.getBytes(StandardCharsets.ISO_8859_1));
@@ -73,7 +73,7 @@
 
   /** Downloads a body of the given size and returns the number of received bytes. */
   long largeDownload(String service, long size) throws IOException {
-    try (var socket = new Socket("127.0.0.1", host(0).callersAddress().port())) {
+    try (var socket = new Socket("127.0.0.1", host(0).callerAddress().port())) {
       String head =
           "GET /bytes/" + size + " HTTP/1.1\r\nHost: " + service + "\r\nConnection: close\r\n\r\n";
       socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
@@ -89,7 +89,7 @@
 
   /** Uploads a body of the given size and returns the response. */
   String largeUpload(String service, long size) throws IOException {
-    try (var socket = new Socket("127.0.0.1", host(0).callersAddress().port())) {
+    try (var socket = new Socket("127.0.0.1", host(0).callerAddress().port())) {
       String head =
           "PUT /up HTTP/1.1\r\nHost: "
               + service
@@ -107,7 +107,7 @@
 
   /** Uploads slowly, as over a slow connection, and returns the response. */
   String slowUpload(int host, String service) throws IOException, InterruptedException {
-    try (var socket = new Socket("127.0.0.1", host(host).callersAddress().port())) {
+    try (var socket = new Socket("127.0.0.1", host(host).callerAddress().port())) {
       String head = "POST /up HTTP/1.1\r\nHost: " + service + "\r\nContent-Length: 60\r\n\r\n";
       socket.getOutputStream().write(head.getBytes(StandardCharsets.ISO_8859_1));
       for (int i = 0; i < 60; i++) {
@@ -123,7 +123,7 @@
 
   /** Returns the value of one metric of a host. */
   double metric(int host, String name) throws IOException, InterruptedException {
-    URI uri = URI.create("http://" + host(host).operatorsAddress() + "/metrics");
+    URI uri = URI.create("http://" + host(host).operatorAddress() + "/metrics");
     String text =
         client
             .send(HttpRequest.newBuilder(uri).build(), HttpResponse.BodyHandlers.ofString())
@@ -139,7 +139,7 @@
     var out = new ByteArrayOutputStream();
     var arguments = new java.util.ArrayList<String>();
     arguments.add("--operators");
-    arguments.add(host(host).operatorsAddress().toString());
+    arguments.add(host(host).operatorAddress().toString());
     arguments.addAll(List.of(args));
     var stream = new PrintStream(out, true, StandardCharsets.UTF_8);
     int code = CtlMain.run(arguments.toArray(new String[0]), Map.of(), stream, stream);
--- a/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
+++ b/host/src/main/java/dev/cactusstack/host/BudgetedSender.java
@@ -16,7 +16,7 @@
   private final Ticker ticker;
 
   private final Predicate<Address> crossesDataCentres;
-  private final LongAdder crossBytes = new LongAdder();
+  private final LongAdder bytesToOtherDataCentres = new LongAdder();
 
   BudgetedSender(
       LinkTransport transport,
@@ -30,15 +30,15 @@
   }
 
   /** Bytes sent to hosts of other data centres since the start. */
-  long crossBytes() {
-    return crossBytes.sum();
+  long bytesToOtherDataCentres() {
+    return bytesToOtherDataCentres.sum();
   }
 
   @Override
   public void send(Address to, LinkMessage m) {
     int sent = transport.send(to, m, bytes -> budget.tryAcquire(bytes, ticker.millis()));
     if (crossesDataCentres.test(to)) {
-      crossBytes.add(sent);
+      bytesToOtherDataCentres.add(sent);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/LateReceiver.java
+++ b/host/src/main/java/dev/cactusstack/host/DeferredReceiver.java
@@ -7,10 +7,10 @@
 import org.jspecify.annotations.Nullable;
 
 /** Passes datagrams to the controllers once they exist; drops earlier ones. Thread-safe. */
-final class LateReceiver implements BiConsumer<Address, LinkMessage> {
+final class DeferredReceiver implements BiConsumer<Address, LinkMessage> {
   private volatile @Nullable Controllers controllers;
 
-  void open(Controllers c) {
+  void setControllers(Controllers c) {
     controllers = c;
   }
 
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -8,29 +8,29 @@
 import dev.cactusstack.decisions.routing.LoadBalancingPolicy;
 import dev.cactusstack.host.callers.CallersServer;
 import dev.cactusstack.host.callers.ForwardToken;
-import dev.cactusstack.host.callers.KeyedRequests;
+import dev.cactusstack.host.callers.IdempotencyKeyClaims;
 import dev.cactusstack.host.control.ConfigurationController;
 import dev.cactusstack.host.control.ControlLoop;
 import dev.cactusstack.host.control.Controllers;
 import dev.cactusstack.host.control.EditService;
 import dev.cactusstack.host.control.MembershipController;
-import dev.cactusstack.host.control.RatesController;
+import dev.cactusstack.host.control.ArrivalRateController;
 import dev.cactusstack.host.control.UpstreamsController;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.Metrics;
 import dev.cactusstack.host.observe.Ticker;
 import dev.cactusstack.host.operators.OperatorsServer;
 import dev.cactusstack.host.operators.OperatorsView;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.link.KeyRing;
 import dev.cactusstack.link.LinkCodec;
 import dev.cactusstack.link.LinkKey;
 import dev.cactusstack.link.LinkTransport;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.settings.HostSettings;
-import dev.cactusstack.storage.HttpClaims;
-import dev.cactusstack.storage.HttpPlatform;
+import dev.cactusstack.storage.HttpClaimStore;
+import dev.cactusstack.storage.HttpPlatformClient;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.List;
@@ -49,8 +49,8 @@
  */
 public final class EntryHost implements AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int LINK_BURST_SECONDS = 10;
-  private static final long POLL_MS = 20;
+  private static final int LINK_BUDGET_BURST_SECONDS = 10;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private final HostSettings settings;
   private final Ticker ticker;
@@ -59,7 +59,7 @@
   private final LinkTransport transport;
   private final TokenBucket budget;
   private final BudgetedSender sender;
-  private volatile @Nullable Controllers running;
+  private volatile @Nullable Controllers startedControllers;
   private final Controllers controllers;
   private final CallersServer callers;
   private final OperatorsServer operators;
@@ -70,47 +70,47 @@
     this.settings = Objects.requireNonNull(settings, "settings is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     Objects.requireNonNull(clock, "clock is null");
-    worker = Workers.daemon("control", 1);
+    worker = XnioWorkers.createDaemonWorker("control", 1);
     loop = new ControlLoop(settings.id().value(), ticker);
     var metrics = new Metrics();
-    var caller = new HttpCaller(worker, Optional.empty());
+    var caller = new HttpClient(worker, Optional.empty());
     Duration timeout = Duration.ofMillis(settings.platform().timeoutMs());
-    var platform = new HttpPlatform(caller, settings.platform().address(), timeout);
-    var claims = new HttpClaims(caller, settings.platform().address(), timeout);
+    var platform = new HttpPlatformClient(caller, settings.platform().address(), timeout);
+    var claims = new HttpClaimStore(caller, settings.platform().address(), timeout);
     KeyRing keys = keyRing(settings);
-    var receiver = new LateReceiver();
+    var receiver = new DeferredReceiver();
     transport = LinkTransport.open(new LinkCodec(keys), settings.link().address(), receiver);
     Member self = self(settings, clock.millis());
     budget =
         new TokenBucket(
-            settings.link().bytesPerSecond(),
-            (double) settings.link().bytesPerSecond() * LINK_BURST_SECONDS,
+            settings.link().maxBytesPerSecond(),
+            (double) settings.link().maxBytesPerSecond() * LINK_BUDGET_BURST_SECONDS,
             ticker.millis());
-    sender = new BudgetedSender(transport, budget, ticker, this::isElsewhere);
+    sender = new BudgetedSender(transport, budget, ticker, this::isInOtherDataCentre);
     var members = new MembershipController(self, sender, ticker, new Random(clock.millis()));
     var configuration =
         new ConfigurationController(
             platform, members, sender, loop, ticker, settings.platform().readIntervalMs());
     var upstreams =
         new UpstreamsController(
-            platform, members, loop, ticker, policy, settings.requests().queueLength());
+            platform, members, loop, ticker, policy, settings.requests().maxQueueLength());
     callers =
         new CallersServer(
             settings.callers(),
             settings.requests(),
             upstreams::view,
             new ForwardToken(settings.id(), keys, clock),
-            new KeyedRequests(claims, settings.requests().claimsPerSecond(), ticker),
+            new IdempotencyKeyClaims(claims, settings.requests().maxClaimsPerSecond(), ticker),
             metrics,
             ticker);
-    var rates = new RatesController(callers.arrivals(), members, ticker);
+    var rates = new ArrivalRateController(callers.arrivals(), members, ticker);
     controllers = new Controllers(loop, members, configuration, upstreams, rates);
-    running = controllers;
-    receiver.open(controllers);
+    startedControllers = controllers;
+    receiver.setControllers(controllers);
     operators =
         new OperatorsServer(
             settings.operators(),
-            settings.operators().tls().map(TlsKeys::load),
+            settings.operators().tls().map(TlsContexts::load),
             new OperatorsView(settings.id(), configuration, members, upstreams, ticker),
             new EditService(platform, configuration),
             metrics);
@@ -119,9 +119,9 @@
 
   private void addGauges(Metrics metrics) {
     metrics.gauge(
-        "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentBytes());
+        "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentByteCount());
     metrics.gauge(
-        "cactusstack.link.rejected", "Datagrams not accepted", transport, t -> t.rejected());
+        "cactusstack.link.rejected", "Datagrams not accepted", transport, t -> t.rejectedCount());
     metrics.gauge(
         "cactusstack.link.over.budget",
         "Datagrams not sent because the budget was spent",
@@ -184,7 +184,7 @@
    *
    * @return the address
    */
-  public Address callersAddress() {
+  public Address callerAddress() {
     return settings.callers().address();
   }
 
@@ -193,7 +193,7 @@
    *
    * @return the address
    */
-  public Address operatorsAddress() {
+  public Address operatorAddress() {
     return settings.operators().address();
   }
 
@@ -211,8 +211,8 @@
    *
    * @return the count
    */
-  public long linkBytes() {
-    return transport.sentBytes();
+  public long linkBytesSent() {
+    return transport.sentByteCount();
   }
 
   /**
@@ -220,8 +220,8 @@
    *
    * @return the count
    */
-  public long crossDataCentreBytes() {
-    return sender.crossBytes();
+  public long crossDataCentreBytesSent() {
+    return sender.bytesToOtherDataCentres();
   }
 
   /**
@@ -229,12 +229,12 @@
    *
    * @return the count
    */
-  public long linkRefused() {
+  public long linkMessagesDropped() {
     return budget.rejectedCount();
   }
 
-  private boolean isElsewhere(Address link) {
-    Controllers c = running;
+  private boolean isInOtherDataCentre(Address link) {
+    Controllers c = startedControllers;
     return c != null
         && c.members().members().values().stream()
             .anyMatch(
@@ -251,12 +251,12 @@
    * @throws InterruptedException when the waiting thread is interrupted
    */
   public boolean awaitReady(long timeoutMs) throws InterruptedException {
-    long end = ticker.millis() + timeoutMs;
+    long deadlineMs = ticker.millis() + timeoutMs;
     while (!controllers.upstreams().view().canServe()) {
-      if (ticker.millis() >= end) {
+      if (ticker.millis() >= deadlineMs) {
         return false;
       }
-      TimeUnit.MILLISECONDS.sleep(POLL_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
     return true;
   }
@@ -268,7 +268,7 @@
    * @return the number of requests cut off because the drain timeout passed
    * @throws InterruptedException when the waiting thread is interrupted
    */
-  public int leave() throws InterruptedException {
+  public int shutDownGracefully() throws InterruptedException {
     LOG.atInfo().log(
         "%s",
         Event.named("leaving").with("host", settings.id()).with("in_flight", callers.inFlight()));
@@ -277,7 +277,7 @@
     TimeUnit.MILLISECONDS.sleep(settings.callers().entriesTtlMs());
     long end = ticker.millis() + settings.requests().drainTimeoutMs();
     while (callers.inFlight() > 0 && ticker.millis() < end) {
-      TimeUnit.MILLISECONDS.sleep(POLL_MS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
     }
     int cutOff = callers.inFlight();
     close();
--- a/host/src/main/java/dev/cactusstack/host/HostMain.java
+++ b/host/src/main/java/dev/cactusstack/host/HostMain.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.LogSetup;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.settings.CheckedSettings;
+import dev.cactusstack.settings.SettingsResult;
 import dev.cactusstack.settings.HostSettings;
 import java.io.File;
 import java.io.IOException;
@@ -22,7 +22,7 @@
   public static final int EXIT_INVALID = 2;
 
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final long READY_LOG_MS = 10_000;
+  private static final long READY_LOG_INTERVAL_MS = 10_000;
 
   private HostMain() {}
 
@@ -90,24 +90,24 @@
   }
 
   private static void run(Path file, boolean checkOnly) {
-    CheckedSettings checked = read(file);
-    if (checked instanceof CheckedSettings.Invalid invalid) {
-      invalid.faults().forEach(System.err::println);
+    SettingsResult checked = read(file);
+    if (checked instanceof SettingsResult.Invalid invalid) {
+      invalid.errors().forEach(System.err::println);
       System.exit(EXIT_INVALID);
     } else if (checkOnly) {
       System.out.println(Event.named("settings_valid").with("file", file));
     } else {
-      serve(((CheckedSettings.Valid) checked).settings());
+      serve(((SettingsResult.Valid) checked).settings());
     }
   }
 
-  private static CheckedSettings read(Path file) {
+  private static SettingsResult read(Path file) {
     try {
       return HostSettings.parse(Files.readString(file), System.getenv());
     } catch (IOException e) {
-      return new CheckedSettings.Invalid(
+      return new SettingsResult.Invalid(
           java.util.List.of(
-              new dev.cactusstack.settings.SettingsFault(
+              new dev.cactusstack.settings.SettingsError(
                   "(file)", file.toString(), "name a file that can be read: " + e.getMessage())));
     }
   }
@@ -121,23 +121,23 @@
             LoadBalancingPolicy.LEAST_EXPECTED_LATENCY);
     ShutdownSignals.install(java.util.List.of(host));
     try {
-      while (!host.awaitReady(READY_LOG_MS)) {
+      while (!host.awaitReady(READY_LOG_INTERVAL_MS)) {
         LOG.atWarning().log(
             "%s",
             Event.named("waiting_for_configuration")
                 .with("remedy", "check that the platform or another host can be reached"));
       }
-      System.out.println(ready(host));
+      System.out.println(readyEvent(host));
       Thread.currentThread().join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static Event ready(EntryHost host) {
+  private static Event readyEvent(EntryHost host) {
     return Event.named("ready")
-        .with("callers", host.callersAddress())
-        .with("operators", host.operatorsAddress())
+        .with("callers", host.callerAddress())
+        .with("operators", host.operatorAddress())
         .with("host", host.settings().id());
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/ShutdownSignals.java
+++ b/host/src/main/java/dev/cactusstack/host/ShutdownSignals.java
@@ -12,10 +12,10 @@
  */
 public final class ShutdownSignals {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int EXIT_CUT_OFF = 1;
+  private static final int EXIT_REQUESTS_ABORTED = 1;
 
   private final List<EntryHost> hosts;
-  private final AtomicBoolean leaving = new AtomicBoolean();
+  private final AtomicBoolean shuttingDown = new AtomicBoolean();
 
   private ShutdownSignals(List<EntryHost> hosts) {
     this.hosts = hosts;
@@ -28,28 +28,28 @@
    */
   public static void install(List<EntryHost> hosts) {
     var signals = new ShutdownSignals(List.copyOf(hosts));
-    Signal.handle(new Signal("TERM"), s -> signals.received());
-    Signal.handle(new Signal("INT"), s -> signals.received());
+    Signal.handle(new Signal("TERM"), s -> signals.onSignal());
+    Signal.handle(new Signal("INT"), s -> signals.onSignal());
   }
 
-  private void received() {
-    if (leaving.compareAndSet(false, true)) {
-      new Thread(this::leave, "leave").start();
+  private void onSignal() {
+    if (shuttingDown.compareAndSet(false, true)) {
+      new Thread(this::shutDown, "leave").start();
       return;
     }
-    int cutOff = hosts.stream().mapToInt(EntryHost::inFlight).sum();
-    LOG.atWarning().log("%s", Event.named("stopped_at_once").with("cut_off", cutOff));
-    Runtime.getRuntime().halt(EXIT_CUT_OFF);
+    int abortedRequests = hosts.stream().mapToInt(EntryHost::inFlight).sum();
+    LOG.atWarning().log("%s", Event.named("stopped_at_once").with("cut_off", abortedRequests));
+    Runtime.getRuntime().halt(EXIT_REQUESTS_ABORTED);
   }
 
-  private void leave() {
-    int cutOff = hosts.parallelStream().mapToInt(ShutdownSignals::leave).sum();
-    System.exit(cutOff == 0 ? 0 : EXIT_CUT_OFF);
+  private void shutDown() {
+    int abortedRequests = hosts.parallelStream().mapToInt(ShutdownSignals::shutDown).sum();
+    System.exit(abortedRequests == 0 ? 0 : EXIT_REQUESTS_ABORTED);
   }
 
-  private static int leave(EntryHost host) {
+  private static int shutDown(EntryHost host) {
     try {
-      return host.leave();
+      return host.shutDownGracefully();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return host.inFlight();
--- a/host/src/main/java/dev/cactusstack/host/TlsKeys.java
+++ b/host/src/main/java/dev/cactusstack/host/TlsContexts.java
@@ -1,6 +1,6 @@
 package dev.cactusstack.host;
 
-import dev.cactusstack.settings.OperatorsSettings;
+import dev.cactusstack.settings.OperatorListenerSettings;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Files;
@@ -11,12 +11,12 @@
 import javax.net.ssl.SSLContext;
 
 /** Loads TLS keys. Stateless. */
-final class TlsKeys {
-  private TlsKeys() {}
+final class TlsContexts {
+  private TlsContexts() {}
 
-  static SSLContext load(OperatorsSettings.TlsKey key) {
+  static SSLContext load(OperatorListenerSettings.TlsKeystore key) {
     char[] password = key.password().toCharArray();
-    try (InputStream in = Files.newInputStream(Path.of(key.keystore()))) {
+    try (InputStream in = Files.newInputStream(Path.of(key.path()))) {
       KeyStore store = KeyStore.getInstance("PKCS12");
       store.load(in, password);
       KeyManagerFactory keys =
@@ -28,7 +28,7 @@
     } catch (IOException | GeneralSecurityException e) {
       throw new IllegalStateException(
           "cannot read the keystore "
-              + key.keystore()
+              + key.path()
               + ": "
               + e.getMessage()
               + "; check operators.tls.keystore and its password",
--- a/host/src/main/java/dev/cactusstack/host/callers/ArrivalCounter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ArrivalCounter.java
@@ -10,7 +10,7 @@
 public final class ArrivalCounter {
   private final Map<ServiceName, LongAdder> counts = new ConcurrentHashMap<>();
 
-  void count(ServiceName s) {
+  void recordArrival(ServiceName s) {
     LongAdder a = counts.get(s);
     if (a == null) {
       a = counts.computeIfAbsent(s, x -> new LongAdder());
@@ -23,7 +23,7 @@
    *
    * @return requests by service
    */
-  public Map<ServiceName, Long> take() {
+  public Map<ServiceName, Long> takeCounts() {
     var taken = new TreeMap<ServiceName, Long>();
     counts.forEach((s, a) -> taken.put(s, a.sumThenReset()));
     return taken;
--- a/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Attempt.java
@@ -34,21 +34,21 @@
   private final XnioIoThread thread;
   private final ConnectionPools pools;
   private final Ticker ticker;
-  private final Address to;
+  private final Address destination;
   private final ClientRequest request;
-  private final int answerTimeoutMs;
+  private final int responseTimeoutMs;
   private final Listener listener;
   private final ByteBufferPool buffers;
   private AttemptState state = AttemptState.NOT_SENT;
   private @Nullable ClientConnection connection;
   private TimerWheel.@Nullable Timer timer;
-  private boolean bodySent;
+  private boolean requestBodySent;
   private boolean ended;
   private boolean detached;
-  private long sentNanos;
-  private long progressNanos;
-  private @Nullable BodyPump bodyUp;
-  private @Nullable BodyPump bodyDown;
+  private long sentAtNanos;
+  private long lastProgressNanos;
+  private @Nullable BodyPump requestBodyPump;
+  private @Nullable BodyPump responseBodyPump;
 
   /** Follows an attempt. Called on the exchange's I/O thread. */
   interface Listener {
@@ -58,7 +58,7 @@
      * @param response the head
      * @param waitedNanos from sending the request to now
      */
-    void answered(ClientResponse response, long waitedNanos);
+    void responseStarted(ClientResponse response, long waitedNanos);
 
     /** An answer has arrived that says that the request did not run; {@code failed} follows. */
     default void refused(ClientResponse response) {}
@@ -82,9 +82,9 @@
     this.thread = exchange.getIoThread();
     this.pools = pools;
     this.ticker = ticker;
-    this.to = to;
+    this.destination = to;
     this.request = request;
-    this.answerTimeoutMs = answerTimeoutMs;
+    this.responseTimeoutMs = answerTimeoutMs;
     this.listener = listener;
     this.buffers = exchange.getConnection().getByteBufferPool();
   }
@@ -92,7 +92,7 @@
   void start(Freshness freshness) {
     pools.acquire(
         thread,
-        to,
+        destination,
         freshness,
         new ClientCallback<>() {
           @Override
@@ -132,15 +132,15 @@
       return;
     }
     state = state.after(AttemptEvent.SEND_STARTED);
-    sentNanos = ticker.nanos();
-    progressNanos = sentNanos;
-    watch(answerTimeoutMs);
+    sentAtNanos = ticker.nanos();
+    lastProgressNanos = sentAtNanos;
+    scheduleProgressCheck(responseTimeoutMs);
     c.sendRequest(
         request,
         new ClientCallback<>() {
           @Override
           public void completed(ClientExchange x) {
-            x.setResponseListener(new AnswerHead());
+            x.setResponseListener(new ResponseHeadCallback());
             sendBody(x.getRequestChannel());
           }
 
@@ -153,37 +153,37 @@
 
   private void sendBody(StreamSinkChannel sink) {
     if (exchange.isRequestComplete()) {
-      finishBody(sink);
+      finishRequestBody(sink);
       return;
     }
     StreamSourceChannel source = exchange.getRequestChannel();
     if (source == null) {
-      finishBody(sink);
+      finishRequestBody(sink);
       return;
     }
-    bodyUp =
+    requestBodyPump =
         BodyPump.start(
             source,
             sink,
             buffers,
-            new Moves() {
+            new TransferListener() {
               @Override
               public void ended(StreamSinkChannel ch) {
-                finishBody(ch);
+                finishRequestBody(ch);
               }
 
               @Override
               public void readFailed(IOException e) {
-                callerFailed(e);
+                requestBodyFailed(e);
               }
             });
   }
 
   /** What both directions have in common. */
-  private abstract class Moves implements BodyPump.Listener {
+  private abstract class TransferListener implements BodyPump.Listener {
     @Override
-    public void moved() {
-      progressNanos = ticker.nanos();
+    public void bytesMoved() {
+      lastProgressNanos = ticker.nanos();
     }
 
     @Override
@@ -197,19 +197,19 @@
     }
   }
 
-  private void finishBody(StreamSinkChannel sink) {
+  private void finishRequestBody(StreamSinkChannel sink) {
     try {
       sink.shutdownWrites();
-      progressNanos = ticker.nanos();
+      lastProgressNanos = ticker.nanos();
       if (sink.flush()) {
         sink.suspendWrites();
-        bodySent = true;
+        requestBodySent = true;
         return;
       }
       ChannelListener<StreamSinkChannel> flushed =
           ch -> {
             ch.suspendWrites();
-            bodySent = true;
+            requestBodySent = true;
           };
       sink.getWriteSetter()
           .set(
@@ -221,17 +221,17 @@
     }
   }
 
-  private void callerFailed(IOException e) {
+  private void requestBodyFailed(IOException e) {
     cancel();
     listener.failed(
         state, AttemptEvent.CONNECTION_LOST, "the request's body failed: " + e.getMessage());
   }
 
   /** Receives the head of the answer. */
-  private final class AnswerHead implements ClientCallback<ClientExchange> {
+  private final class ResponseHeadCallback implements ClientCallback<ClientExchange> {
     @Override
     public void completed(ClientExchange x) {
-      receive(x);
+      onResponseHead(x);
     }
 
     @Override
@@ -240,48 +240,48 @@
     }
   }
 
-  private void receive(ClientExchange x) {
+  private void onResponseHead(ClientExchange x) {
     if (ended) {
       return;
     }
-    progressNanos = ticker.nanos();
+    lastProgressNanos = ticker.nanos();
     ClientResponse response = x.getResponse();
-    if (AnswerHeads.saysNotRun(response)) {
+    if (ResponseChecks.reportsNotRun(response)) {
       listener.refused(response);
-      fail(AttemptEvent.REFUSED, new IOException(AnswerHeads.refusal(response)));
+      fail(AttemptEvent.REFUSED, new IOException(ResponseChecks.refusalReason(response)));
       return;
     }
-    String fault = AnswerHeads.framingFault(request.getMethod(), response);
+    String fault = ResponseChecks.framingError(request.getMethod(), response);
     if (!fault.isEmpty()) {
       fail(AttemptEvent.CONNECTION_LOST, new IOException(fault));
       return;
     }
     state = state.after(AttemptEvent.RESPONSE_STARTED);
-    listener.answered(response, ticker.nanos() - sentNanos);
+    listener.responseStarted(response, ticker.nanos() - sentAtNanos);
     if (detached) {
-      drop(x.getResponseChannel());
+      discardBody(x.getResponseChannel());
       return;
     }
-    bodyDown =
+    responseBodyPump =
         BodyPump.start(
             x.getResponseChannel(),
             exchange.getResponseChannel(),
             buffers,
-            new Moves() {
+            new TransferListener() {
               @Override
               public void ended(StreamSinkChannel ch) {
-                finishAnswer(ch);
+                finishResponse(ch);
               }
             });
   }
 
-  private void drop(StreamSourceChannel source) {
+  private void discardBody(StreamSourceChannel source) {
     try {
       for (long n = Channels.drain(source, Long.MAX_VALUE);
           n != -1;
           n = Channels.drain(source, Long.MAX_VALUE)) {
         if (n == 0) {
-          source.getReadSetter().set(this::drop);
+          source.getReadSetter().set(this::discardBody);
           source.resumeReads();
           return;
         }
@@ -296,13 +296,13 @@
     }
   }
 
-  private void finishAnswer(StreamSinkChannel sink) {
+  private void finishResponse(StreamSinkChannel sink) {
     if (ended) {
       return;
     }
     ended = true;
     stop();
-    finishCaller(sink);
+    flushToCaller(sink);
     // The client library is still inside its own handling of this answer; another request may use
     // the connection only after that.
     thread.execute(this::releaseConnection);
@@ -311,14 +311,14 @@
 
   private void releaseConnection() {
     // A request that was answered before its body had been sent leaves the connection unusable.
-    if (connection != null && bodySent) {
-      pools.release(thread, to, connection);
+    if (connection != null && requestBodySent) {
+      pools.release(thread, destination, connection);
     } else {
       IoUtils.safeClose(connection);
     }
   }
 
-  private void finishCaller(StreamSinkChannel sink) {
+  private void flushToCaller(StreamSinkChannel sink) {
     try {
       sink.shutdownWrites();
       if (!sink.flush()) {
@@ -326,7 +326,7 @@
         TimerWheel.Timer limit =
             pools
                 .timers(thread)
-                .schedule(answerTimeoutMs, () -> IoUtils.safeClose(exchange.getConnection()));
+                .schedule(responseTimeoutMs, () -> IoUtils.safeClose(exchange.getConnection()));
         sink.getWriteSetter()
             .set(
                 ChannelListeners.flushingChannelListener(
@@ -345,19 +345,19 @@
     }
   }
 
-  private void watch(double delayMs) {
+  private void scheduleProgressCheck(double delayMs) {
     timer = pools.timers(thread).schedule(delayMs, this::checkProgress);
   }
 
   /** Fails an attempt in which neither body has moved, and no head arrived, for the time limit. */
   private void checkProgress() {
-    double leftMs = answerTimeoutMs - (ticker.nanos() - progressNanos) / 1e6;
-    if (leftMs > 0) {
-      watch(leftMs);
+    double remainingMs = responseTimeoutMs - (ticker.nanos() - lastProgressNanos) / 1e6;
+    if (remainingMs > 0) {
+      scheduleProgressCheck(remainingMs);
     } else {
       fail(
           AttemptEvent.TIMED_OUT,
-          new IOException("nothing was heard for " + answerTimeoutMs + " ms"));
+          new IOException("nothing was heard for " + responseTimeoutMs + " ms"));
     }
   }
 
@@ -374,11 +374,11 @@
     if (timer != null) {
       timer.cancel();
     }
-    if (bodyUp != null) {
-      bodyUp.stop();
+    if (requestBodyPump != null) {
+      requestBodyPump.stop();
     }
-    if (bodyDown != null) {
-      bodyDown.stop();
+    if (responseBodyPump != null) {
+      responseBodyPump.stop();
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/BodyPump.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/BodyPump.java
@@ -25,7 +25,7 @@
   /** Follows a transfer. */
   interface Listener {
     /** Some bytes have moved. */
-    void moved();
+    void bytesMoved();
 
     /** All bytes have been written; the sink is not yet shut down. */
     void ended(StreamSinkChannel sink);
@@ -48,19 +48,19 @@
   static BodyPump start(
       StreamSourceChannel source, StreamSinkChannel sink, ByteBufferPool pool, Listener listener) {
     var pump = new BodyPump(source, sink, pool, listener);
-    source.getReadSetter().set(ch -> pump.move());
-    sink.getWriteSetter().set(ch -> pump.move());
-    pump.move();
+    source.getReadSetter().set(ch -> pump.transfer());
+    sink.getWriteSetter().set(ch -> pump.transfer());
+    pump.transfer();
     return pump;
   }
 
   /** Stops moving and gives the buffer back; the channels are left to the caller. */
   void stop() {
     ended = true;
-    free();
+    releaseBuffer();
   }
 
-  private void move() {
+  private void transfer() {
     while (!ended) {
       if (!writePending() || !readMore()) {
         return;
@@ -82,7 +82,7 @@
           sink.resumeWrites();
           return false;
         }
-        listener.moved();
+        listener.bytesMoved();
       }
     } catch (IOException e) {
       stop();
@@ -108,10 +108,10 @@
     }
     if (n > 0) {
       b.flip();
-      listener.moved();
+      listener.bytesMoved();
       return true;
     }
-    free();
+    releaseBuffer();
     if (n == 0) {
       sink.suspendWrites();
       source.resumeReads();
@@ -124,7 +124,7 @@
     return false;
   }
 
-  private void free() {
+  private void releaseBuffer() {
     if (pooled != null) {
       pooled.close();
       pooled = null;
--- a/host/src/main/java/dev/cactusstack/host/callers/CactusHeaders.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CactusHeaders.java
@@ -48,17 +48,17 @@
    * that {@code Connection} names, and the system's own.
    */
   static void copyEndToEnd(HeaderMap from, HeaderMap to) {
-    Set<HttpString> named = namedByConnection(from);
+    Set<HttpString> named = connectionOptions(from);
     for (HeaderValues v : from) {
       HttpString name = v.getHeaderName();
-      boolean passed = !HOP_BY_HOP.contains(name) && !named.contains(name) && !isOwn(name);
+      boolean passed = !HOP_BY_HOP.contains(name) && !named.contains(name) && !isSystemHeader(name);
       if (passed) {
         to.putAll(name, v);
       }
     }
   }
 
-  private static Set<HttpString> namedByConnection(HeaderMap headers) {
+  private static Set<HttpString> connectionOptions(HeaderMap headers) {
     HeaderValues connection = headers.get(Headers.CONNECTION);
     if (connection == null) {
       return Set.of();
@@ -75,7 +75,7 @@
     return names;
   }
 
-  private static boolean isOwn(HttpString name) {
+  private static boolean isSystemHeader(HttpString name) {
     // Nearly all names are told apart by two letters, without a copy.
     return name.length() > PREFIX.length()
         && (name.byteAt(0) | 0x20) == PREFIX.charAt(0)
--- a/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/CallersServer.java
@@ -3,7 +3,7 @@
 import dev.cactusstack.decisions.retries.RetryBudget;
 import dev.cactusstack.host.observe.Metrics;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.RequestSettings;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -17,13 +17,13 @@
 /** The port for callers: size and framing checks, look-ups, then requests. Thread-safe. */
 public final class CallersServer implements AutoCloseable {
   private static final int BUFFER_BYTES = 16 * 1024;
-  private static final int BUFFERS_POOLED = 256;
-  private static final int BUFFERS_PER_THREAD = 8;
-  private static final int RETRY_RESERVE = 50;
-  private static final int HEDGE_RESERVE = 20;
+  private static final int MAX_POOLED_BUFFERS = 256;
+  private static final int THREAD_LOCAL_BUFFERS = 8;
+  private static final int RETRY_BUDGET_RESERVE = 50;
+  private static final int HEDGE_BUDGET_RESERVE = 20;
 
   /** Room above the settings' limit, so that a typed answer can be given instead of a cut. */
-  private static final int HEADER_ROOM = 4;
+  private static final int HEADER_LIMIT_FACTOR = 4;
 
   private static final int MAX_HEADERS = 400;
 
@@ -43,46 +43,46 @@
    * @param ticker the clock
    */
   public CallersServer(
-      CallersSettings callers,
+      CallerListenerSettings callers,
       RequestSettings requests,
       Supplier<RoutingView> view,
       ForwardToken token,
-      KeyedRequests keyed,
+      IdempotencyKeyClaims keyed,
       Metrics metrics,
       Ticker ticker) {
     Objects.requireNonNull(callers, "callers is null");
-    var buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_POOLED, BUFFERS_PER_THREAD);
+    var buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, THREAD_LOCAL_BUFFERS);
     var pools = new ConnectionPools(ticker, buffers, requests.connectTimeoutMs());
     metrics.gauge(
         "cactusstack.upstream.connections.opened",
         "Connections opened to upstreams and other hosts",
         pools,
-        ConnectionPools::opened);
+        ConnectionPools::openedCount);
     var path =
-        new DataPath(
+        new DataPathContext(
             view,
             pools,
             token,
             metrics,
-            new RetryBudget(requests.retryShare(), RETRY_RESERVE),
-            new RetryBudget(requests.hedgeShare(), HEDGE_RESERVE),
+            new RetryBudget(requests.retryRatio(), RETRY_BUDGET_RESERVE),
+            new RetryBudget(requests.hedgeRatio(), HEDGE_BUDGET_RESERVE),
             keyed,
             arrivals,
-            new RemoteLoads(ticker),
+            new RemoteRouteLoads(ticker),
             requests,
             ticker,
-            DataPath.SERVING_RANDOM);
+            DataPathContext.SERVING_RANDOM);
     inFlight = new InFlightFilter(chain(callers, path));
     server = server(callers, buffers);
   }
 
-  private static HttpHandler chain(CallersSettings callers, DataPath path) {
+  private static HttpHandler chain(CallerListenerSettings callers, DataPathContext path) {
     HttpHandler service = new HttpContinueReadHandler(new ServiceFilter(path));
-    HttpHandler entries = new EntriesFilter(callers, path.view(), path.random(), service);
+    HttpHandler entries = new EntryLookupFilter(callers, path.view(), path.random(), service);
     return new FramingFilter(callers, entries);
   }
 
-  private Undertow server(CallersSettings s, DefaultByteBufferPool buffers) {
+  private Undertow server(CallerListenerSettings s, DefaultByteBufferPool buffers) {
     return Undertow.builder()
         .addHttpListener(s.address().port(), s.address().ip())
         .setByteBufferPool(buffers)
@@ -93,7 +93,7 @@
         .setSocketOption(Options.REUSE_ADDRESSES, true)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, s.receiveTimeoutMs())
         .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, s.idleTimeoutMs())
-        .setServerOption(UndertowOptions.MAX_HEADER_SIZE, s.maxHeaderBytes() * HEADER_ROOM)
+        .setServerOption(UndertowOptions.MAX_HEADER_SIZE, s.maxHeaderBytes() * HEADER_LIMIT_FACTOR)
         .setServerOption(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, s.maxBodyBytes())
         .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
--- a/host/src/main/java/dev/cactusstack/host/callers/ConnectionPools.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ConnectionPools.java
@@ -33,7 +33,7 @@
 final class ConnectionPools {
   private static final int MAX_IDLE_PER_ADDRESS = 32;
   private static final long IDLE_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(15);
-  private static final long SWEEP_MS = 1_000;
+  private static final long SWEEP_INTERVAL_MS = 1_000;
   private static final OptionMap OPTIONS =
       OptionMap.builder()
           .set(UndertowOptions.ENABLE_HTTP2, false)
@@ -43,21 +43,21 @@
   private final Ticker ticker;
   private final ByteBufferPool buffers;
   private final int connectTimeoutMs;
-  private final Map<XnioIoThread, ThreadPool> pools = new ConcurrentHashMap<>();
-  private final AtomicInteger opened = new AtomicInteger();
+  private final Map<XnioIoThread, ThreadConnections> pools = new ConcurrentHashMap<>();
+  private final AtomicInteger openedCount = new AtomicInteger();
 
   /** What a request needs of a connection. */
   enum Freshness {
     /** Any open connection. */
     ANY,
     /** One that carried an answer a moment ago, or a new one. */
-    PROVED,
+    RECENTLY_USED,
     /** A new one. */
     NEW
   }
 
   /** An idle connection and when it last carried an answer. */
-  private record Idle(ClientConnection connection, long sinceNanos) {}
+  private record IdleConnection(ClientConnection connection, long idleSinceNanos) {}
 
   ConnectionPools(Ticker ticker, ByteBufferPool buffers, int connectTimeoutMs) {
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -68,47 +68,47 @@
   /** Finds or opens a connection; calls back on the given thread, at once for an idle one. */
   void acquire(
       XnioIoThread thread, Address to, Freshness freshness, ClientCallback<ClientConnection> cb) {
-    ThreadPool pool = pools.computeIfAbsent(thread, ThreadPool::new);
+    ThreadConnections pool = pools.computeIfAbsent(thread, ThreadConnections::new);
     ClientConnection idle = freshness == Freshness.NEW ? null : pool.take(to, freshness);
     if (idle != null) {
       cb.completed(idle);
       return;
     }
-    opened.incrementAndGet();
-    new Connecting(cb).start(thread, to);
+    openedCount.incrementAndGet();
+    new ConnectAttempt(cb).start(thread, to);
   }
 
   /** Returns a connection that has carried a whole exchange. */
   void release(XnioIoThread thread, Address to, ClientConnection c) {
-    pools.computeIfAbsent(thread, ThreadPool::new).put(to, c);
+    pools.computeIfAbsent(thread, ThreadConnections::new).put(to, c);
   }
 
   /** The timers of a thread; to be used on that thread only. */
   TimerWheel timers(XnioIoThread thread) {
-    return pools.computeIfAbsent(thread, ThreadPool::new).timers;
+    return pools.computeIfAbsent(thread, ThreadConnections::new).timers;
   }
 
-  int opened() {
-    return opened.get();
+  int openedCount() {
+    return openedCount.get();
   }
 
   /** The idle connections of one thread. Confined to it. */
-  private final class ThreadPool {
-    private static final long PROVED_NANOS = 1_000_000_000L;
+  private final class ThreadConnections {
+    private static final long RECENT_USE_NANOS = 1_000_000_000L;
 
     private final XnioIoThread thread;
-    private final Map<Address, ArrayDeque<Idle>> idle = new HashMap<>();
+    private final Map<Address, ArrayDeque<IdleConnection>> idle = new HashMap<>();
     private final TimerWheel timers;
 
-    ThreadPool(XnioIoThread thread) {
+    ThreadConnections(XnioIoThread thread) {
       this.thread = thread;
       this.timers = new TimerWheel(thread);
-      sweepLater();
+      scheduleSweep();
     }
 
-    private void sweepLater() {
+    private void scheduleSweep() {
       try {
-        thread.executeAfter(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
       } catch (RejectedExecutionException e) {
         // The thread is shutting down, and closes its connections itself.
         idle.clear();
@@ -116,14 +116,14 @@
     }
 
     @Nullable ClientConnection take(Address to, Freshness freshness) {
-      ArrayDeque<Idle> list = idle.get(to);
+      ArrayDeque<IdleConnection> list = idle.get(to);
       if (list == null) {
         return null;
       }
       // The newest first: the rest can then reach the idle limit.
-      for (Idle i = list.pollLast(); i != null; i = list.pollLast()) {
-        boolean proved = ticker.nanos() - i.sinceNanos < PROVED_NANOS;
-        if (freshness == Freshness.PROVED && !proved) {
+      for (IdleConnection i = list.pollLast(); i != null; i = list.pollLast()) {
+        boolean recentlyUsed = ticker.nanos() - i.idleSinceNanos < RECENT_USE_NANOS;
+        if (freshness == Freshness.RECENTLY_USED && !recentlyUsed) {
           list.addLast(i);
           return null;
         }
@@ -138,24 +138,24 @@
       if (!c.isOpen()) {
         return;
       }
-      ArrayDeque<Idle> list = idle.computeIfAbsent(to, a -> new ArrayDeque<>());
+      ArrayDeque<IdleConnection> list = idle.computeIfAbsent(to, a -> new ArrayDeque<>());
       if (list.size() >= MAX_IDLE_PER_ADDRESS) {
         IoUtils.safeClose(c);
         return;
       }
-      list.addLast(new Idle(c, ticker.nanos()));
+      list.addLast(new IdleConnection(c, ticker.nanos()));
     }
 
     private void sweep() {
       long now = ticker.nanos();
       idle.values().forEach(list -> expire(list, now));
       idle.values().removeIf(ArrayDeque::isEmpty);
-      sweepLater();
+      scheduleSweep();
     }
 
-    private void expire(ArrayDeque<Idle> list, long now) {
-      for (Idle i = list.peekFirst(); i != null; i = list.peekFirst()) {
-        if (i.connection.isOpen() && now - i.sinceNanos < IDLE_LIMIT_NANOS) {
+    private void expire(ArrayDeque<IdleConnection> list, long now) {
+      for (IdleConnection i = list.peekFirst(); i != null; i = list.peekFirst()) {
+        if (i.connection.isOpen() && now - i.idleSinceNanos < IDLE_LIMIT_NANOS) {
           return;
         }
         list.pollFirst();
@@ -165,12 +165,12 @@
   }
 
   /** One connection attempt with a time limit. Confined to its thread. */
-  private final class Connecting implements ClientCallback<ClientConnection> {
+  private final class ConnectAttempt implements ClientCallback<ClientConnection> {
     private final ClientCallback<ClientConnection> cb;
     private XnioExecutor.@Nullable Key timer;
     private boolean done;
 
-    Connecting(ClientCallback<ClientConnection> cb) {
+    ConnectAttempt(ClientCallback<ClientConnection> cb) {
       this.cb = cb;
     }
 
--- a/host/src/main/java/dev/cactusstack/host/callers/DataPath.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/DataPathContext.java
@@ -20,23 +20,23 @@
  * @param metrics histograms and counters
  * @param retries allows retries
  * @param hedges allows second attempts beside a slow one
- * @param keyed runs requests with an {@code Idempotency-Key} once
+ * @param idempotencyKeys runs requests with an {@code Idempotency-Key} once
  * @param arrivals counts requests of callers
  * @param remoteLoads what other owners said of their load
  * @param settings how requests are treated
  * @param ticker the clock
  * @param random draws the data centre of a request; thread-safe
  */
-record DataPath(
+record DataPathContext(
     Supplier<RoutingView> view,
     ConnectionPools pools,
     ForwardToken token,
     Metrics metrics,
     RetryBudget retries,
     RetryBudget hedges,
-    KeyedRequests keyed,
+    IdempotencyKeyClaims idempotencyKeys,
     ArrivalCounter arrivals,
-    RemoteLoads remoteLoads,
+    RemoteRouteLoads remoteLoads,
     RequestSettings settings,
     Ticker ticker,
     Supplier<Random> random) {
@@ -44,7 +44,7 @@
   /** Unseeded randomness for a host in service. */
   static final Supplier<Random> SERVING_RANDOM = ThreadLocalRandom::current;
 
-  DataPath {
+  DataPathContext {
     Objects.requireNonNull(view, "view is null");
     Objects.requireNonNull(random, "random is null");
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/Destinations.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/DestinationSelector.java
@@ -16,20 +16,20 @@
  * longer than the round trip to the other. When none has a free place, the request waits where the
  * wait is expected to be shortest, round trip included. Confined to one thread.
  */
-final class Destinations {
+final class DestinationSelector {
   private static final double UNKNOWN_WAIT_MS = 1_000;
 
   private final ServiceName service;
-  private final RemoteLoads loads;
+  private final RemoteRouteLoads loads;
   private final Random random;
   private final List<DataCentre> failed = new ArrayList<>(2);
-  private final List<DataCentre> asked = new ArrayList<>(2);
-  private @Nullable DataCentre first;
+  private final List<DataCentre> refusedDataCentres = new ArrayList<>(2);
+  private @Nullable DataCentre firstChoice;
 
   /** Where to send a request, and whether it may be refused there. */
   record Choice(Target target, boolean mayRefuse) {}
 
-  Destinations(ServiceName service, RemoteLoads loads, Random random) {
+  DestinationSelector(ServiceName service, RemoteRouteLoads loads, Random random) {
     this.service = service;
     this.loads = loads;
     this.random = random;
@@ -41,7 +41,7 @@
   }
 
   /** Makes all data centres usable again; returns false when none was left out. */
-  boolean forgetFailures() {
+  boolean clearFailures() {
     boolean any = !failed.isEmpty();
     failed.clear();
     return any;
@@ -49,16 +49,16 @@
 
   /** Notes that a data centre had no free place. */
   void refused(DataCentre d) {
-    asked.add(d);
+    refusedDataCentres.add(d);
   }
 
   /** Chooses a data centre; {@code mayAsk} tells whether a refusal would cost nothing. */
-  @Nullable Choice next(RoutingView view, boolean mayAsk) {
+  @Nullable Choice select(RoutingView view, boolean refusalIsCheap) {
     ServiceView s = view.service(service);
     if (s == null) {
       return null;
     }
-    Target free = mayAsk ? nextToAsk(s) : null;
+    Target free = refusalIsCheap ? selectImmediate(s) : null;
     if (free != null) {
       return new Choice(free, true);
     }
@@ -66,36 +66,36 @@
     return shortest == null ? null : new Choice(shortest, false);
   }
 
-  private @Nullable Target nextToAsk(ServiceView s) {
-    if (first == null) {
-      first = drawFirst(s);
+  private @Nullable Target selectImmediate(ServiceView s) {
+    if (firstChoice == null) {
+      firstChoice = drawFirst(s);
     }
-    Target preferred = first == null ? null : s.at(first);
-    if (preferred != null && isWorthAsking(preferred)) {
+    Target preferred = firstChoice == null ? null : s.targetIn(firstChoice);
+    if (preferred != null && isCandidate(preferred)) {
       return preferred;
     }
-    double waitHere = preferred == null ? 0 : waitMs(preferred);
+    double preferredWaitMs = preferred == null ? 0 : waitMs(preferred);
     var others = new ArrayList<Target>(s.targets().size());
     for (Target t : s.targets()) {
-      if (isWorthAsking(t) && roundTripMs(t) < waitHere) {
+      if (isCandidate(t) && roundTripMs(t) < preferredWaitMs) {
         others.add(t);
       }
     }
-    return byWeight(others);
+    return pickByWeight(others);
   }
 
   private @Nullable DataCentre drawFirst(ServiceView s) {
     DataCentre drawn = s.split().choose(random.nextDouble()).orElse(null);
-    if (drawn != null && s.at(drawn) != null) {
+    if (drawn != null && s.targetIn(drawn) != null) {
       return drawn;
     }
-    Target t = byWeight(s.targets());
+    Target t = pickByWeight(s.targets());
     return t == null ? null : t.key().dataCentre();
   }
 
-  private boolean isWorthAsking(Target t) {
+  private boolean isCandidate(Target t) {
     DataCentre d = t.key().dataCentre();
-    return !failed.contains(d) && !asked.contains(d) && !loads.isBusy(t.key());
+    return !failed.contains(d) && !refusedDataCentres.contains(d) && !loads.isBusy(t.key());
   }
 
   private @Nullable Target shortestWait(ServiceView s) {
@@ -122,10 +122,10 @@
   }
 
   private static double roundTripMs(Target t) {
-    return t.owner() instanceof RouteOwner.Remote r ? r.hop().roundTripMs() : 0;
+    return t.owner() instanceof RouteOwner.Remote r ? r.remoteHost().roundTripMs() : 0;
   }
 
-  private @Nullable Target byWeight(List<Target> targets) {
+  private @Nullable Target pickByWeight(List<Target> targets) {
     int sum = 0;
     for (Target t : targets) {
       sum += t.weight();
--- a/host/src/main/java/dev/cactusstack/host/callers/Entry.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntryEndpoint.java
@@ -10,10 +10,10 @@
  * @param address its address for callers
  * @param dataCentre where it is
  */
-public record Entry(Address address, DataCentre dataCentre) {
+public record EntryEndpoint(Address address, DataCentre dataCentre) {
 
   /** Checks the components. */
-  public Entry {
+  public EntryEndpoint {
     Objects.requireNonNull(address, "address is null");
     Objects.requireNonNull(dataCentre, "dataCentre is null");
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/EntriesFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/EntryLookupFilter.java
@@ -8,7 +8,7 @@
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
 import dev.cactusstack.model.ServiceName;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import dev.cactusstack.settings.Network;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -25,16 +25,16 @@
 import java.util.function.Supplier;
 
 /** Answers callers' look-ups of entry hosts; passes on every other request. Thread-safe. */
-final class EntriesFilter implements HttpHandler {
+final class EntryLookupFilter implements HttpHandler {
   static final String PATH = "/.well-known/cactusstack/entries";
 
-  private final CallersSettings settings;
+  private final CallerListenerSettings settings;
   private final Supplier<RoutingView> view;
   private final Supplier<Random> random;
   private final HttpHandler next;
 
-  EntriesFilter(
-      CallersSettings settings,
+  EntryLookupFilter(
+      CallerListenerSettings settings,
       Supplier<RoutingView> view,
       Supplier<Random> random,
       HttpHandler next) {
@@ -51,7 +51,7 @@
       return;
     }
     if (!x.getRequestMethod().equals(Methods.GET) && !x.getRequestMethod().equals(Methods.HEAD)) {
-      Problems.send(x, Problem.invalid("a look-up is a GET request", "use GET"), Outcome.NOT_RUN);
+      ProblemResponses.send(x, Problem.invalid("a look-up is a GET request", "use GET"), Outcome.NOT_RUN);
       return;
     }
     Deque<String> names = x.getQueryParameters().get("service");
@@ -62,20 +62,20 @@
             : ServiceName.parse(names.getFirst());
     RoutingView v = view.get();
     service
-        .flatMap(s -> known(v, s))
+        .flatMap(s -> requireKnown(v, s))
         .fold(
             p -> {
-              Problems.send(x, p, Outcome.NOT_RUN);
+              ProblemResponses.send(x, p, Outcome.NOT_RUN);
               return true;
             },
             s -> {
-              answer(x, v);
+              respond(x, v);
               return true;
             });
   }
 
-  private static Result<ServiceName> known(RoutingView v, ServiceName s) {
-    return v.knows(s) ? Result.success(s) : Result.failure(unknownService(v, s));
+  private static Result<ServiceName> requireKnown(RoutingView v, ServiceName s) {
+    return v.contains(s) ? Result.success(s) : Result.failure(unknownService(v, s));
   }
 
   static Problem unknownService(RoutingView v, ServiceName s) {
@@ -91,10 +91,10 @@
         "use a service that 'cactusctl table show' lists");
   }
 
-  private void answer(HttpServerExchange x, RoutingView v) {
-    ObjectNode body = Json.object();
+  private void respond(HttpServerExchange x, RoutingView v) {
+    ObjectNode body = Json.newObject();
     ArrayNode list = body.putArray("entries");
-    for (Entry e : ordered(v, x.getSourceAddress().getAddress())) {
+    for (EntryEndpoint e : ordered(v, x.getSourceAddress().getAddress())) {
       list.addObject()
           .put("address", e.address().toString())
           .put("data_centre", e.dataCentre().value());
@@ -103,14 +103,14 @@
     long seconds = TimeUnit.MILLISECONDS.toSeconds(settings.entriesTtlMs());
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseHeaders().put(Headers.CACHE_CONTROL, "private, max-age=" + seconds);
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(body)));
   }
 
   /** The entries of the caller's data centre first; each group in random order. */
-  private List<Entry> ordered(RoutingView v, InetAddress caller) {
+  private List<EntryEndpoint> ordered(RoutingView v, InetAddress caller) {
     DataCentre nearest = nearest(v, caller);
-    List<Entry> near = new ArrayList<>();
-    List<Entry> far = new ArrayList<>();
+    List<EntryEndpoint> near = new ArrayList<>();
+    List<EntryEndpoint> far = new ArrayList<>();
     v.entries().forEach(e -> (e.dataCentre().equals(nearest) ? near : far).add(e));
     Collections.shuffle(near, random.get());
     Collections.shuffle(far, random.get());
@@ -121,7 +121,7 @@
   private DataCentre nearest(RoutingView v, InetAddress caller) {
     return settings.networks().stream()
         .filter(n -> n.contains(caller.getAddress()))
-        .max((a, b) -> Integer.compare(a.prefixBits(), b.prefixBits()))
+        .max((a, b) -> Integer.compare(a.prefixLength(), b.prefixLength()))
         .map(Network::dataCentre)
         .orElse(v.home());
   }
--- a/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ForwardToken.java
@@ -17,7 +17,7 @@
  */
 public final class ForwardToken {
   private static final long MINUTE_MS = 60_000;
-  private static final int MAX_REMEMBERED = 1_024;
+  private static final int MAX_CACHED_TOKENS = 1_024;
 
   private final HostId self;
   private final KeyRing keys;
@@ -46,7 +46,7 @@
     if (last.minute != minute) {
       String text = self + " " + minute;
       String tag = HexFormat.of().formatHex(keys.sign(bytes(text)));
-      last = new Issued(minute, text + " " + keys.signingId() + " " + tag);
+      last = new Issued(minute, text + " " + keys.signingKeyId() + " " + tag);
       issued = last;
     }
     return last.token;
@@ -60,7 +60,7 @@
         return false;
       }
       minute = Long.parseLong(token.split(" ")[1]);
-      if (verified.size() >= MAX_REMEMBERED) {
+      if (verified.size() >= MAX_CACHED_TOKENS) {
         verified.clear();
       }
       verified.put(token, minute);
--- a/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/FramingFilter.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.settings.CallersSettings;
+import dev.cactusstack.settings.CallerListenerSettings;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderMap;
@@ -16,28 +16,28 @@
  * and 6.3), and those over the size limits. Stateless and thread-safe.
  */
 final class FramingFilter implements HttpHandler {
-  private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
+  private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-  private final CallersSettings settings;
+  private final CallerListenerSettings settings;
   private final HttpHandler next;
 
-  FramingFilter(CallersSettings settings, HttpHandler next) {
+  FramingFilter(CallerListenerSettings settings, HttpHandler next) {
     this.settings = settings;
     this.next = next;
   }
 
   @Override
   public void handleRequest(HttpServerExchange x) throws Exception {
-    Optional<Problem> fault = fault(x);
+    Optional<Problem> fault = findProblem(x);
     if (fault.isPresent()) {
       x.setPersistent(false);
-      Problems.send(x, fault.get(), Outcome.NOT_RUN);
+      ProblemResponses.send(x, fault.get(), Outcome.NOT_RUN);
       return;
     }
     next.handleRequest(x);
   }
 
-  private Optional<Problem> fault(HttpServerExchange x) {
+  private Optional<Problem> findProblem(HttpServerExchange x) {
     HeaderMap h = x.getRequestHeaders();
     int size = x.getRequestURI().length() + x.getQueryString().length();
     for (HeaderValues v : h) {
@@ -118,7 +118,7 @@
     for (int i = 0; i < name.length(); i++) {
       int c = name.byteAt(i) & 0xff;
       boolean alphanumeric = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z';
-      if (!alphanumeric && TOKEN_MARKS.indexOf(c) < 0) {
+      if (!alphanumeric && TOKEN_PUNCTUATION.indexOf(c) < 0) {
         return false;
       }
     }
--- a/host/src/main/java/dev/cactusstack/host/callers/UpstreamRace.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/HedgedRequest.java
@@ -4,7 +4,7 @@
 import dev.cactusstack.decisions.retries.AttemptState;
 import dev.cactusstack.decisions.state.Observation;
 import dev.cactusstack.host.callers.ConnectionPools.Freshness;
-import dev.cactusstack.host.callers.RequestHeads.Passage;
+import dev.cactusstack.host.callers.OutgoingRequests.AttemptInfo;
 import dev.cactusstack.model.Address;
 import io.undertow.client.ClientResponse;
 import io.undertow.server.HttpServerExchange;
@@ -22,90 +22,90 @@
  * <p>Invariant: each lease is released once its upstream has ended the work or the connection to it
  * is closed. Confined to the exchange's I/O thread.
  */
-final class UpstreamRace {
+final class HedgedRequest {
   private static final int SERVER_ERROR = 500;
 
   /** A request is late after this many times the usual answer time. */
-  private static final double LATE_RATIO = 2.5;
+  private static final double HEDGE_DELAY_RATIO = 2.5;
 
-  private static final double MIN_LATE_MS = 2;
+  private static final double MIN_HEDGE_DELAY_MS = 2;
 
   private final HttpServerExchange exchange;
-  private final RequestFacts facts;
-  private final DataPath path;
+  private final RequestAttributes facts;
+  private final DataPathContext path;
   private final RouteScheduler scheduler;
-  private final Supplier<Passage> passage;
-  private final End end;
-  private final List<Runner> running = new ArrayList<>(2);
+  private final Supplier<AttemptInfo> attemptInfo;
+  private final ResultListener resultListener;
+  private final List<HedgedAttempt> runningAttempts = new ArrayList<>(2);
   private TimerWheel.@Nullable Timer timer;
-  private @Nullable Runner winner;
-  private boolean possiblyRun;
+  private @Nullable HedgedAttempt winner;
+  private boolean mayHaveRun;
 
   /** Takes the end of a race. Called on the exchange's I/O thread. */
-  interface End {
+  interface ResultListener {
     /** The head of the answer that counts has arrived; its body follows to the caller. */
-    void answered(ClientResponse response, long waitedNanos);
+    void responseStarted(ClientResponse response, long waitedNanos);
 
     /** No attempt is left. */
     void failed(Address upstream, AttemptState state, AttemptEvent cause, String reason);
   }
 
-  UpstreamRace(
+  HedgedRequest(
       HttpServerExchange exchange,
-      RequestFacts facts,
-      DataPath path,
+      RequestAttributes facts,
+      DataPathContext path,
       RouteScheduler scheduler,
-      Supplier<Passage> passage,
-      End end) {
+      Supplier<AttemptInfo> passage,
+      ResultListener end) {
     this.exchange = exchange;
     this.facts = facts;
     this.path = path;
     this.scheduler = scheduler;
-    this.passage = passage;
-    this.end = end;
+    this.attemptInfo = passage;
+    this.resultListener = end;
   }
 
   void start(Lease lease) {
     if (facts.isHedgeable()) {
-      armTimer(LATE_RATIO * scheduler.usualMs());
+      scheduleHedge(HEDGE_DELAY_RATIO * scheduler.typicalResponseMs());
     }
-    begin(lease);
+    startAttempt(lease);
   }
 
-  private void begin(Lease lease) {
-    path.metrics().of(facts.service()).attempted();
-    var runner = new Runner(lease);
-    running.add(runner);
-    runner.attempt.start(facts.idempotent() ? Freshness.ANY : Freshness.PROVED);
+  private void startAttempt(Lease lease) {
+    path.metrics().forService(facts.service()).recordAttempt();
+    var runner = new HedgedAttempt(lease);
+    runningAttempts.add(runner);
+    runner.attempt.start(facts.idempotent() ? Freshness.ANY : Freshness.RECENTLY_USED);
   }
 
-  private void armTimer(double ms) {
-    double delayMs = Math.max(MIN_LATE_MS, ms);
-    timer = path.pools().timers(exchange.getIoThread()).schedule(delayMs, this::late);
+  private void scheduleHedge(double ms) {
+    double delayMs = Math.max(MIN_HEDGE_DELAY_MS, ms);
+    timer = path.pools().timers(exchange.getIoThread()).schedule(delayMs, this::tryHedge);
   }
 
-  private void late() {
-    if (winner != null || running.size() != 1) {
+  private void tryHedge() {
+    if (winner != null || runningAttempts.size() != 1) {
       return;
     }
-    Address current = running.get(0).lease.upstream().address();
-    Lease second = scheduler.tryAhead(Set.of(current));
+    Address current = runningAttempts.get(0).lease.upstream().address();
+    Lease second = scheduler.tryAcquireAheadOfQueue(Set.of(current));
     if (second == null) {
-      armTimer(scheduler.usualMs() / 8);
+      scheduleHedge(scheduler.typicalResponseMs() / 8);
     } else if (path.hedges().tryWithdraw()) {
-      begin(second);
+      startAttempt(second);
     } else {
       second.release();
     }
   }
 
   /** Gives up: the caller has its answer, or has gone. */
-  void callerGone() {
+  void callerFinished() {
     stopTimer();
-    for (Runner r : List.copyOf(running)) {
+    for (HedgedAttempt r : List.copyOf(runningAttempts)) {
       if (winner == null || r == winner) {
         r.attempt.cancel();
-        r.ended();
+        r.finishAttempt();
       }
     }
   }
@@ -117,42 +117,42 @@
   }
 
   /** One upstream of the race. */
-  private final class Runner implements Attempt.Listener {
+  private final class HedgedAttempt implements Attempt.Listener {
     private final Lease lease;
     private final Attempt attempt;
 
-    Runner(Lease lease) {
+    HedgedAttempt(Lease lease) {
       this.lease = lease;
       Address to = lease.upstream().address();
-      Passage p = passage.get();
+      AttemptInfo p = attemptInfo.get();
       this.attempt =
           new Attempt(
               exchange,
               path.pools(),
               path.ticker(),
               to,
-              RequestHeads.toUpstream(exchange, facts, p),
-              (int) Math.max(1, p.leftMs()),
+              OutgoingRequests.toUpstream(exchange, facts, p),
+              (int) Math.max(1, p.remainingMs()),
               this);
     }
 
     @Override
-    public void answered(ClientResponse response, long waitedNanos) {
-      observeAnswer(response, waitedNanos / 1e6);
+    public void responseStarted(ClientResponse response, long waitedNanos) {
+      recordResponse(response, waitedNanos / 1e6);
       if (winner != null) {
         return;
       }
       winner = this;
       stopTimer();
-      for (Runner r : running) {
+      for (HedgedAttempt r : runningAttempts) {
         if (r != this) {
           r.attempt.detach();
         }
       }
-      end.answered(response, waitedNanos);
+      resultListener.responseStarted(response, waitedNanos);
     }
 
-    private void observeAnswer(ClientResponse response, double ms) {
+    private void recordResponse(ClientResponse response, double ms) {
       LoadReport report =
           LoadReport.parse(response.getResponseHeaders().getFirst(CactusHeaders.LOAD));
       switch (report.state()) {
@@ -160,7 +160,7 @@
         case COLD -> observe(new Observation.ReportedCold());
         default -> {}
       }
-      boolean warm = report.state() == LoadReport.Reported.WARM;
+      boolean warm = report.state() == LoadReport.ReportedState.WARM;
       observe(
           response.getResponseCode() >= SERVER_ERROR
               ? new Observation.ServerError(ms)
@@ -169,7 +169,7 @@
 
     @Override
     public void completed() {
-      ended();
+      finishAttempt();
     }
 
     @Override
@@ -180,18 +180,18 @@
             case TIMED_OUT -> new Observation.Timeout();
             default -> new Observation.ConnectionLost();
           });
-      ended();
-      possiblyRun |= !state.provesNotRun();
-      boolean counts = winner == this || winner == null && running.isEmpty();
+      finishAttempt();
+      mayHaveRun |= !state.provesNotRun();
+      boolean counts = winner == this || winner == null && runningAttempts.isEmpty();
       if (counts) {
         stopTimer();
-        AttemptState all = possiblyRun && state.provesNotRun() ? AttemptState.POSSIBLY_RUN : state;
-        end.failed(lease.upstream().address(), all, cause, reason);
+        AttemptState all = mayHaveRun && state.provesNotRun() ? AttemptState.POSSIBLY_RUN : state;
+        resultListener.failed(lease.upstream().address(), all, cause, reason);
       }
     }
 
-    private void ended() {
-      running.remove(this);
+    private void finishAttempt() {
+      runningAttempts.remove(this);
       lease.release();
     }
 
--- a/host/src/main/java/dev/cactusstack/host/callers/KeyedRequests.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/IdempotencyKeyClaims.java
@@ -24,19 +24,19 @@
  *
  * <p>Invariant: a request passes only when this host holds its claim. Thread-safe.
  */
-public final class KeyedRequests {
+public final class IdempotencyKeyClaims {
   private static final HttpString HEADER = new HttpString("Idempotency-Key");
   private static final int DIGEST_BYTES = 16;
 
   private final ClaimStore store;
-  private final TokenBucket perSecond;
+  private final TokenBucket claimRateLimiter;
   private final Ticker ticker;
 
   /** A claim that this host holds. */
-  record Held(ClaimKey key, String holder) {}
+  record HeldClaim(ClaimKey key, String holder) {}
 
   /** Either a held claim, or the answer that the caller gets instead. */
-  record Admission(@Nullable Held held, @Nullable Problem problem, Outcome outcome) {}
+  record Admission(@Nullable HeldClaim heldClaim, @Nullable Problem problem, Outcome outcome) {}
 
   /**
    * Creates the filter.
@@ -45,21 +45,21 @@
    * @param claimsPerSecond most claims that this host makes in a second
    * @param ticker the clock
    */
-  public KeyedRequests(ClaimStore store, int claimsPerSecond, Ticker ticker) {
+  public IdempotencyKeyClaims(ClaimStore store, int claimsPerSecond, Ticker ticker) {
     this.store = Objects.requireNonNull(store, "store is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
-    this.perSecond = new TokenBucket(claimsPerSecond, claimsPerSecond, ticker.millis());
+    this.claimRateLimiter = new TokenBucket(claimsPerSecond, claimsPerSecond, ticker.millis());
   }
 
   /** Whether a request must be claimed: the first host claims it, the owner does not. */
-  static boolean concerns(HttpServerExchange x, RequestFacts facts) {
+  static boolean requiresClaim(HttpServerExchange x, RequestAttributes facts) {
     return !facts.idempotent()
         && facts.forwardedTo().isEmpty()
         && x.getRequestHeaders().contains(HEADER);
   }
 
-  CompletableFuture<Admission> admit(HttpServerExchange x, RequestFacts facts) {
-    if (!perSecond.tryAcquire(1, ticker.millis())) {
+  CompletableFuture<Admission> admit(HttpServerExchange x, RequestAttributes facts) {
+    if (!claimRateLimiter.tryAcquire(1, ticker.millis())) {
       return CompletableFuture.completedFuture(
           refused(
               ProblemKind.OVERLOADED,
@@ -68,19 +68,19 @@
               Outcome.NOT_RUN));
     }
     String target = x.getRequestMethod() + " " + x.getRequestURI() + "?" + x.getQueryString();
-    String given = String.valueOf(x.getRequestHeaders().getFirst(HEADER));
-    var held =
-        new Held(
-            new ClaimKey(facts.service(), digest(given), digest(target)),
+    String keyValue = String.valueOf(x.getRequestHeaders().getFirst(HEADER));
+    var heldClaim =
+        new HeldClaim(
+            new ClaimKey(facts.service(), digest(keyValue), digest(target)),
             UUID.randomUUID().toString());
     return store
-        .claim(held.key(), held.holder())
-        .handle((o, t) -> t == null ? admission(o, held) : unavailable());
+        .claim(heldClaim.key(), heldClaim.holder())
+        .handle((o, t) -> t == null ? admission(o, heldClaim) : unavailable());
   }
 
-  private static Admission admission(ClaimOutcome o, Held held) {
+  private static Admission admission(ClaimOutcome o, HeldClaim heldClaim) {
     if (o instanceof ClaimOutcome.Granted) {
-      return new Admission(held, null, Outcome.UNKNOWN);
+      return new Admission(heldClaim, null, Outcome.UNKNOWN);
     }
     if (o instanceof ClaimOutcome.AlreadyAnswered a) {
       return refused(
@@ -89,7 +89,7 @@
           "look up its effect; it is not run again",
           Outcome.UNKNOWN);
     }
-    if (o instanceof ClaimOutcome.OtherRequest) {
+    if (o instanceof ClaimOutcome.RequestMismatch) {
       return refused(
           ProblemKind.INVALID_INPUT,
           "this Idempotency-Key was used for another request",
@@ -117,12 +117,12 @@
     return new Admission(null, new Problem(kind, message, remedy), outcome);
   }
 
-  void answered(Held held, int status) {
-    store.finished(held.key(), held.holder(), status);
+  void recordStatus(HeldClaim heldClaim, int status) {
+    store.markAnswered(heldClaim.key(), heldClaim.holder(), status);
   }
 
-  void notRun(Held held) {
-    store.released(held.key(), held.holder());
+  void releaseNotRun(HeldClaim heldClaim) {
+    store.release(heldClaim.key(), heldClaim.holder());
   }
 
   private static String digest(String text) {
--- a/host/src/main/java/dev/cactusstack/host/callers/Lease.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Lease.java
@@ -10,21 +10,21 @@
 final class Lease {
   private final Upstream upstream;
   private final RouteScheduler scheduler;
-  private final long startNanos;
+  private final long grantedAtNanos;
   private final AtomicBoolean released = new AtomicBoolean();
 
   Lease(Upstream upstream, RouteScheduler scheduler, long startNanos) {
     this.upstream = upstream;
     this.scheduler = scheduler;
-    this.startNanos = startNanos;
+    this.grantedAtNanos = startNanos;
   }
 
   Upstream upstream() {
     return upstream;
   }
 
-  long startNanos() {
-    return startNanos;
+  long grantedAtNanos() {
+    return grantedAtNanos;
   }
 
   boolean isReleased() {
@@ -33,7 +33,7 @@
 
   void release() {
     if (released.compareAndSet(false, true)) {
-      scheduler.released(this);
+      scheduler.onRelease(this);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/Waiter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/LeaseRequest.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /** A request that waits for a lease. Implementations are thread-safe. */
-interface Waiter {
+interface LeaseRequest {
 
   /** Addresses to avoid when another is free. */
   Set<Address> avoided();
 
   /** Whether the request still wants a lease. */
-  boolean isWaiting();
+  boolean isPending();
 
   /**
    * Hands over a lease, once.
@@ -21,5 +21,5 @@
   boolean grant(Lease lease);
 
   /** Tells the request, once, that it gets no lease. */
-  void refuse(Problem problem);
+  void reject(Problem problem);
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/LoadReport.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/LoadReport.java
@@ -8,13 +8,13 @@
  *
  * @param state what the upstream says of itself
  */
-record LoadReport(Reported state) {
+record LoadReport(ReportedState state) {
   private static final String STATE = "state=";
-  static final LoadReport NONE = new LoadReport(Reported.NOTHING);
+  static final LoadReport NONE = new LoadReport(ReportedState.UNSPECIFIED);
 
   /** What an upstream can say of itself. */
-  enum Reported {
-    NOTHING,
+  enum ReportedState {
+    UNSPECIFIED,
     WARM,
     COLD,
     LEAVING
@@ -33,12 +33,12 @@
     return new LoadReport(state(header.substring(from, to < 0 ? header.length() : to).strip()));
   }
 
-  private static Reported state(String label) {
+  private static ReportedState state(String label) {
     return switch (label) {
-      case "warm" -> Reported.WARM;
-      case "cold" -> Reported.COLD;
-      case "leaving" -> Reported.LEAVING;
-      default -> Reported.NOTHING;
+      case "warm" -> ReportedState.WARM;
+      case "cold" -> ReportedState.COLD;
+      case "leaving" -> ReportedState.LEAVING;
+      default -> ReportedState.UNSPECIFIED;
     };
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestHeads.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/OutgoingRequests.java
@@ -8,36 +8,36 @@
 import io.undertow.util.Protocols;
 
 /** Builds the heads of requests to upstreams and to other hosts. Stateless. */
-final class RequestHeads {
+final class OutgoingRequests {
   private static final String VIA = "1.1 cactusstack";
 
   /**
    * What changes from attempt to attempt.
    *
-   * @param repeated whether this is not the first attempt, here or further up
-   * @param leftMs how long the caller still waits
+   * @param isRetry whether this is not the first attempt, here or further up
+   * @param remainingMs how long the caller still waits
    */
-  record Passage(boolean repeated, long leftMs) {}
+  record AttemptInfo(boolean isRetry, long remainingMs) {}
 
-  private RequestHeads() {}
+  private OutgoingRequests() {}
 
-  static ClientRequest toUpstream(HttpServerExchange x, RequestFacts facts, Passage p) {
-    ClientRequest r = head(x, facts, p);
+  static ClientRequest toUpstream(HttpServerExchange x, RequestAttributes facts, AttemptInfo p) {
+    ClientRequest r = newRequest(x, facts, p);
     if (facts.forwardedTo().isEmpty()) {
-      addCaller(x, r.getRequestHeaders());
+      addForwardedFor(x, r.getRequestHeaders());
     }
     return r;
   }
 
   static ClientRequest toOwner(
       HttpServerExchange x,
-      RequestFacts facts,
-      Passage p,
+      RequestAttributes facts,
+      AttemptInfo p,
       DataCentre dataCentre,
       String token,
       boolean mayRefuse) {
-    ClientRequest r = head(x, facts, p);
-    addCaller(x, r.getRequestHeaders());
+    ClientRequest r = newRequest(x, facts, p);
+    addForwardedFor(x, r.getRequestHeaders());
     r.getRequestHeaders().put(CactusHeaders.FORWARDED, token);
     r.getRequestHeaders().put(CactusHeaders.DATA_CENTRE, dataCentre.value());
     if (mayRefuse) {
@@ -46,7 +46,7 @@
     return r;
   }
 
-  private static ClientRequest head(HttpServerExchange x, RequestFacts facts, Passage p) {
+  private static ClientRequest newRequest(HttpServerExchange x, RequestAttributes facts, AttemptInfo p) {
     var r = new ClientRequest();
     r.setMethod(x.getRequestMethod());
     r.setProtocol(Protocols.HTTP_1_1);
@@ -60,11 +60,11 @@
       to.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
     }
     to.add(Headers.VIA, VIA);
-    if (p.repeated()) {
+    if (p.isRetry()) {
       to.put(CactusHeaders.RETRY, "1");
     }
-    if (facts.deadlineNanos() != RequestFacts.NO_DEADLINE) {
-      to.put(CactusHeaders.DEADLINE, Long.toString(p.leftMs()));
+    if (facts.deadlineNanos() != RequestAttributes.NO_DEADLINE) {
+      to.put(CactusHeaders.DEADLINE, Long.toString(p.remainingMs()));
     }
     return r;
   }
@@ -75,7 +75,7 @@
     return query.isEmpty() ? uri : uri + "?" + query;
   }
 
-  private static void addCaller(HttpServerExchange x, HeaderMap to) {
+  private static void addForwardedFor(HttpServerExchange x, HeaderMap to) {
     String ip = x.getSourceAddress().getAddress().getHostAddress();
     String before = to.getFirst(CactusHeaders.FORWARDED_FOR);
     to.put(CactusHeaders.FORWARDED_FOR, before == null ? ip : before + ", " + ip);
--- a/host/src/main/java/dev/cactusstack/host/callers/Problems.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ProblemResponses.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /** Writes answers that the system makes itself, in the form of RFC 9457. Stateless. */
-final class Problems {
-  private Problems() {}
+final class ProblemResponses {
+  private ProblemResponses() {}
 
   /** Describes a request whose last attempt failed. */
-  static Problem ofAttempt(
+  static Problem ofFailedAttempt(
       ServiceName service, AttemptEvent cause, String reason, Outcome outcome) {
     ProblemKind kind =
         switch (cause) {
@@ -55,13 +55,13 @@
       x.setPersistent(false);
     }
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("type", "about:blank")
             .put("title", p.message())
             .put("status", p.kind().status())
             .put("kind", p.kind().label())
             .put("remedy", p.remedy())
             .put("outcome", outcome.label());
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(n)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(n)));
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/LeaseWait.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/QueuedLeaseRequest.java
@@ -13,33 +13,33 @@
  *
  * <p>Thread-safe; the callbacks run on the request's I/O thread.
  */
-final class LeaseWait implements Waiter {
+final class QueuedLeaseRequest implements LeaseRequest {
   private final XnioIoThread thread;
   private final Set<Address> avoided;
-  private final Consumer<Lease> granted;
-  private final Consumer<Problem> refused;
+  private final Consumer<Lease> onGranted;
+  private final Consumer<Problem> onRejected;
   private final AtomicBoolean ended = new AtomicBoolean();
   private TimerWheel.@Nullable Timer timer;
 
-  LeaseWait(
+  QueuedLeaseRequest(
       XnioIoThread thread,
       Set<Address> avoided,
       Consumer<Lease> granted,
       Consumer<Problem> refused) {
     this.thread = thread;
     this.avoided = Set.copyOf(avoided);
-    this.granted = granted;
-    this.refused = refused;
+    this.onGranted = granted;
+    this.onRejected = refused;
   }
 
   /** Joins a scheduler's queue for a limited time. Called on the request's I/O thread. */
   void start(RouteScheduler scheduler, TimerWheel timers, long timeoutMs, Problem atTimeout) {
-    timer = timers.schedule(timeoutMs, () -> refuse(atTimeout));
+    timer = timers.schedule(timeoutMs, () -> reject(atTimeout));
     scheduler.submit(this);
   }
 
   /** Stops waiting without a callback. */
-  void giveUp() {
+  void abandon() {
     ended.set(true);
     stopTimer();
   }
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public boolean isWaiting() {
+  public boolean isPending() {
     return !ended.get();
   }
 
@@ -59,18 +59,18 @@
     if (!ended.compareAndSet(false, true)) {
       return false;
     }
-    onThread(() -> granted.accept(lease));
+    runOnThread(() -> onGranted.accept(lease));
     return true;
   }
 
   @Override
-  public void refuse(Problem problem) {
+  public void reject(Problem problem) {
     if (ended.compareAndSet(false, true)) {
-      onThread(() -> refused.accept(problem));
+      runOnThread(() -> onRejected.accept(problem));
     }
   }
 
-  private void onThread(Runnable r) {
+  private void runOnThread(Runnable r) {
     Runnable stopAndRun =
         () -> {
           stopTimer();
--- a/host/src/main/java/dev/cactusstack/host/callers/Hop.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RemoteHost.java
@@ -8,14 +8,14 @@
  * The owner of a route as another host reaches it. Immutable and thread-safe.
  *
  * @param host the owner
- * @param callers its address for callers
+ * @param callerAddress its address for callers
  * @param roundTripMs the smoothed round trip to it, in milliseconds
  */
-public record Hop(HostId host, Address callers, double roundTripMs) {
+public record RemoteHost(HostId host, Address callerAddress, double roundTripMs) {
 
   /** Checks the components. */
-  public Hop {
+  public RemoteHost {
     Objects.requireNonNull(host, "host is null");
-    Objects.requireNonNull(callers, "callers is null");
+    Objects.requireNonNull(callerAddress, "callers is null");
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestFacts.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestAttributes.java
@@ -13,25 +13,25 @@
  * @param bodiless whether it has no body
  * @param forwardedTo the data centre chosen by the host that passed it on, if one did
  * @param mayRefuse whether the host that passed it on wants an answer rather than a wait
- * @param repeated whether a host or service further up repeats it
- * @param arrivedNanos when it arrived
+ * @param isRetry whether a host or service further up repeats it
+ * @param arrivedAtNanos when it arrived
  * @param deadlineNanos when its caller stops waiting; {@link #NO_DEADLINE} when it did not say
  */
-record RequestFacts(
+record RequestAttributes(
     ServiceName service,
     boolean idempotent,
     boolean bodiless,
     Optional<DataCentre> forwardedTo,
     boolean mayRefuse,
-    boolean repeated,
-    long arrivedNanos,
+    boolean isRetry,
+    long arrivedAtNanos,
     long deadlineNanos) {
   static final long NO_DEADLINE = Long.MAX_VALUE;
 
   /**
    * Milliseconds until the caller stops waiting, at most {@code limitMs}; 0 when it has stopped.
    */
-  long leftMs(long nowNanos, long limitMs) {
+  long remainingMs(long nowNanos, long limitMs) {
     if (deadlineNanos == NO_DEADLINE) {
       return limitMs;
     }
@@ -41,6 +41,6 @@
 
   /** Whether it may be sent to two upstreams at once. */
   boolean isHedgeable() {
-    return idempotent && bodiless && !repeated;
+    return idempotent && bodiless && !isRetry;
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RequestRun.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RequestExecution.java
@@ -5,9 +5,9 @@
 import dev.cactusstack.decisions.retries.RetryConditions;
 import dev.cactusstack.decisions.retries.RetryDecision;
 import dev.cactusstack.host.callers.ConnectionPools.Freshness;
-import dev.cactusstack.host.callers.Destinations.Choice;
-import dev.cactusstack.host.callers.KeyedRequests.Admission;
-import dev.cactusstack.host.callers.RequestHeads.Passage;
+import dev.cactusstack.host.callers.DestinationSelector.Choice;
+import dev.cactusstack.host.callers.IdempotencyKeyClaims.Admission;
+import dev.cactusstack.host.callers.OutgoingRequests.AttemptInfo;
 import dev.cactusstack.host.observe.ServiceMetrics;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.DataCentre;
@@ -30,82 +30,82 @@
  *
  * <p>Invariant: the exchange gets one answer. Confined to the exchange's I/O thread.
  */
-final class RequestRun {
-  private static final long MISDIRECTED_PAUSE_MS = 30;
+final class RequestExecution {
+  private static final long REROUTE_DELAY_MS = 30;
 
   private final HttpServerExchange exchange;
-  private final RequestFacts facts;
-  private final DataPath path;
+  private final RequestAttributes facts;
+  private final DataPathContext path;
   private final ServiceMetrics metrics;
-  private final Destinations destinations;
+  private final DestinationSelector destinations;
   private Set<Address> avoided = Set.of();
-  private @Nullable LeaseWait wait;
-  private @Nullable UpstreamRace race;
-  private @Nullable Attempt passedOn;
+  private @Nullable QueuedLeaseRequest pendingLease;
+  private @Nullable HedgedRequest hedgedRequest;
+  private @Nullable Attempt forwardedAttempt;
   private int attempts;
-  private KeyedRequests.@Nullable Held held;
-  private boolean everPossiblyRun;
+  private IdempotencyKeyClaims.@Nullable HeldClaim heldClaim;
+  private boolean mayHaveRun;
   private boolean ended;
-  private long upstreamNanos;
+  private long upstreamWaitNanos;
 
-  RequestRun(HttpServerExchange exchange, RequestFacts facts, DataPath path) {
+  RequestExecution(HttpServerExchange exchange, RequestAttributes facts, DataPathContext path) {
     this.exchange = exchange;
     this.facts = facts;
     this.path = path;
-    this.metrics = path.metrics().of(facts.service());
-    this.destinations = new Destinations(facts.service(), path.remoteLoads(), path.random().get());
+    this.metrics = path.metrics().forService(facts.service());
+    this.destinations = new DestinationSelector(facts.service(), path.remoteLoads(), path.random().get());
   }
 
   void start() {
     exchange.addExchangeCompleteListener(
         (x, next) -> {
-          finish();
+          onExchangeComplete();
           next.proceed();
         });
     path.retries().deposit();
     path.hedges().deposit();
-    if (KeyedRequests.concerns(exchange, facts)) {
-      path.keyed()
+    if (IdempotencyKeyClaims.requiresClaim(exchange, facts)) {
+      path.idempotencyKeys()
           .admit(exchange, facts)
-          .thenAccept(a -> exchange.getIoThread().execute(() -> admitted(a)));
+          .thenAccept(a -> exchange.getIoThread().execute(() -> onAdmission(a)));
     } else {
       route();
     }
   }
 
-  private void admitted(Admission a) {
-    held = a.held();
+  private void onAdmission(Admission a) {
+    heldClaim = a.heldClaim();
     Problem p = a.problem();
     if (p != null) {
-      send(p, a.outcome());
+      sendProblem(p, a.outcome());
     } else if (ended) {
-      giveClaimBack(Outcome.NOT_RUN);
+      releaseClaim(Outcome.NOT_RUN);
     } else {
       route();
     }
   }
 
   /** Lets the key be used again, but only when the request certainly did not run. */
-  private void giveClaimBack(Outcome outcome) {
-    if (held != null && outcome == Outcome.NOT_RUN) {
-      path.keyed().notRun(held);
-      held = null;
+  private void releaseClaim(Outcome outcome) {
+    if (heldClaim != null && outcome == Outcome.NOT_RUN) {
+      path.idempotencyKeys().releaseNotRun(heldClaim);
+      heldClaim = null;
     }
   }
 
-  private void finish() {
+  private void onExchangeComplete() {
     ended = true;
-    if (wait != null) {
-      wait.giveUp();
+    if (pendingLease != null) {
+      pendingLease.abandon();
     }
-    if (passedOn != null) {
-      passedOn.cancel();
+    if (forwardedAttempt != null) {
+      forwardedAttempt.cancel();
     }
-    if (race != null) {
-      race.callerGone();
+    if (hedgedRequest != null) {
+      hedgedRequest.callerFinished();
     }
-    long total = path.ticker().nanos() - facts.arrivedNanos();
-    metrics.answered(total, total - upstreamNanos);
+    long total = path.ticker().nanos() - facts.arrivedAtNanos();
+    metrics.recordRequest(total, total - upstreamWaitNanos);
   }
 
   // Choosing where to go.
@@ -114,8 +114,8 @@
     if (ended) {
       return;
     }
-    if (leftMs() == 0) {
-      refuseNow(
+    if (remainingMs() == 0) {
+      reject(
           new Problem(
               ProblemKind.DEADLINE_PASSED,
               "the caller's deadline has passed",
@@ -125,81 +125,81 @@
     RoutingView view = path.view().get();
     Choice choice =
         facts.forwardedTo().isPresent()
-            ? ownRoute(view, facts.forwardedTo().get())
-            : destinations.next(view, facts.bodiless());
-    if (choice == null && destinations.forgetFailures() && isWithinWait()) {
-      routeLater();
+            ? localRoute(view, facts.forwardedTo().get())
+            : destinations.select(view, facts.bodiless());
+    if (choice == null && destinations.clearFailures() && isWithinQueueTimeout()) {
+      rerouteLater();
     } else if (choice == null) {
-      refuseNow(
+      reject(
           new Problem(
               ProblemKind.NO_UPSTREAM,
               "no data centre can serve " + facts.service() + " now",
               "check 'cactusctl status' for data centres that are out and for weights of 0"));
     } else if (choice.target().owner() instanceof RouteOwner.Local local) {
-      serveHere(choice, local.scheduler());
+      serveLocally(choice, local.scheduler());
     } else if (choice.target().owner() instanceof RouteOwner.Remote remote) {
-      passOn(choice, remote.hop());
+      forward(choice, remote.remoteHost());
     }
   }
 
   /** How long the caller still waits, at most the time limit of an answer. */
-  private long leftMs() {
-    return facts.leftMs(path.ticker().nanos(), path.settings().answerTimeoutMs());
+  private long remainingMs() {
+    return facts.remainingMs(path.ticker().nanos(), path.settings().responseTimeoutMs());
   }
 
-  private Passage passage() {
-    return new Passage(facts.repeated() || attempts > 1, leftMs());
+  private AttemptInfo attemptInfo() {
+    return new AttemptInfo(facts.isRetry() || attempts > 1, remainingMs());
   }
 
   /** Whether the request may still be sent to another owner, or again to the same one. */
-  private boolean isWithinWait() {
-    long waited = path.ticker().nanos() - facts.arrivedNanos();
+  private boolean isWithinQueueTimeout() {
+    long waited = path.ticker().nanos() - facts.arrivedAtNanos();
     return waited < TimeUnit.MILLISECONDS.toNanos(path.settings().queueTimeoutMs());
   }
 
-  private void routeLater() {
-    path.pools().timers(exchange.getIoThread()).schedule(MISDIRECTED_PAUSE_MS, this::route);
+  private void rerouteLater() {
+    path.pools().timers(exchange.getIoThread()).schedule(REROUTE_DELAY_MS, this::route);
   }
 
-  private @Nullable Choice ownRoute(RoutingView view, DataCentre d) {
+  private @Nullable Choice localRoute(RoutingView view, DataCentre d) {
     ServiceView s = view.service(facts.service());
-    ServiceView.Target t = s == null ? null : s.at(d);
+    ServiceView.Target t = s == null ? null : s.targetIn(d);
     return t != null && t.owner() instanceof RouteOwner.Local
         ? new Choice(t, facts.mayRefuse())
         : null;
   }
 
-  private void serveHere(Choice choice, RouteScheduler scheduler) {
+  private void serveLocally(Choice choice, RouteScheduler scheduler) {
     if (!choice.mayRefuse()) {
-      waitFor(choice.target().key(), scheduler);
+      enqueue(choice.target().key(), scheduler);
       return;
     }
-    Lease lease = scheduler.tryNow(avoided);
+    Lease lease = scheduler.tryAcquire(avoided);
     if (lease != null) {
-      run(choice.target().key(), scheduler, lease);
+      startAttempts(choice.target().key(), scheduler, lease);
     } else if (facts.forwardedTo().isPresent()) {
-      refuseWithLoad(choice.target().key(), scheduler);
+      rejectWithLoad(choice.target().key(), scheduler);
     } else {
       destinations.refused(choice.target().key().dataCentre());
       route();
     }
   }
 
-  private void refuseWithLoad(RouteKey key, RouteScheduler scheduler) {
-    Problems.send(
+  private void rejectWithLoad(RouteKey key, RouteScheduler scheduler) {
+    ProblemResponses.send(
         exchange,
         new Problem(
             ProblemKind.OVERLOADED, "route " + key + " has no free place", "ask another owner"),
         Outcome.NOT_RUN,
-        h -> h.put(CactusHeaders.ROUTE_LOAD, RemoteLoads.render(scheduler)));
+        h -> h.put(CactusHeaders.ROUTE_LOAD, RemoteRouteLoads.render(scheduler)));
   }
 
-  private void waitFor(RouteKey key, RouteScheduler scheduler) {
-    long timeoutMs = Math.min(path.settings().queueTimeoutMs(), leftMs());
-    wait =
-        new LeaseWait(
-            exchange.getIoThread(), avoided, lease -> run(key, scheduler, lease), this::waitEnded);
-    wait.start(
+  private void enqueue(RouteKey key, RouteScheduler scheduler) {
+    long timeoutMs = Math.min(path.settings().queueTimeoutMs(), remainingMs());
+    pendingLease =
+        new QueuedLeaseRequest(
+            exchange.getIoThread(), avoided, lease -> startAttempts(key, scheduler, lease), this::leaseRejected);
+    pendingLease.start(
         scheduler,
         path.pools().timers(exchange.getIoThread()),
         timeoutMs,
@@ -209,39 +209,39 @@
             "repeat the request after a pause, or add upstreams"));
   }
 
-  private void waitEnded(Problem p) {
-    wait = null;
+  private void leaseRejected(Problem p) {
+    pendingLease = null;
     boolean ownerChanged = p.kind() == ProblemKind.MISDIRECTED;
     if (ownerChanged && facts.forwardedTo().isEmpty()) {
       route();
     } else {
-      refuseNow(p);
+      reject(p);
     }
   }
 
   // Attempts.
 
-  private void run(RouteKey key, RouteScheduler scheduler, Lease lease) {
-    wait = null;
+  private void startAttempts(RouteKey key, RouteScheduler scheduler, Lease lease) {
+    pendingLease = null;
     if (ended) {
       lease.release();
       return;
     }
     attempts++;
-    race =
-        new UpstreamRace(
-            exchange, facts, path, scheduler, this::passage, new RaceEnd(key, scheduler));
-    race.start(lease);
+    hedgedRequest =
+        new HedgedRequest(
+            exchange, facts, path, scheduler, this::attemptInfo, new LocalResultListener(key, scheduler));
+    hedgedRequest.start(lease);
   }
 
-  private void passOn(Choice choice, Hop hop) {
+  private void forward(Choice choice, RemoteHost hop) {
     attempts += choice.mayRefuse() ? 0 : 1;
-    metrics.attempted();
+    metrics.recordAttempt();
     ClientRequest r =
-        RequestHeads.toOwner(
+        OutgoingRequests.toOwner(
             exchange,
             facts,
-            passage(),
+            attemptInfo(),
             choice.target().key().dataCentre(),
             path.token().issue(),
             choice.mayRefuse());
@@ -250,119 +250,119 @@
             exchange,
             path.pools(),
             path.ticker(),
-            hop.callers(),
+            hop.callerAddress(),
             r,
-            (int) Math.max(1, leftMs()),
-            new AtOwner(choice));
-    passedOn = attempt;
-    attempt.start(facts.idempotent() ? Freshness.ANY : Freshness.PROVED);
+            (int) Math.max(1, remainingMs()),
+            new ForwardListener(choice));
+    forwardedAttempt = attempt;
+    attempt.start(facts.idempotent() ? Freshness.ANY : Freshness.RECENTLY_USED);
   }
 
-  private void copyAnswer(ClientResponse response, long waitedNanos) {
-    boolean whetherRunIsKnown = !response.getResponseHeaders().contains(CactusHeaders.OUTCOME);
-    if (held != null && whetherRunIsKnown) {
-      path.keyed().answered(held, response.getResponseCode());
+  private void copyResponseHead(ClientResponse response, long elapsedNanos) {
+    boolean outcomeKnown = !response.getResponseHeaders().contains(CactusHeaders.OUTCOME);
+    if (heldClaim != null && outcomeKnown) {
+      path.idempotencyKeys().recordStatus(heldClaim, response.getResponseCode());
     }
-    upstreamNanos += waitedNanos;
+    upstreamWaitNanos += elapsedNanos;
     exchange.setStatusCode(response.getResponseCode());
     CactusHeaders.copyEndToEnd(response.getResponseHeaders(), exchange.getResponseHeaders());
   }
 
-  private void retryOrTell(AttemptState state, AttemptEvent cause, String reason) {
+  private void retryOrReport(AttemptState state, AttemptEvent cause, String reason) {
     if (ended) {
       return;
     }
-    everPossiblyRun |= !state.provesNotRun();
-    boolean left =
-        attempts < path.settings().attempts()
-            && !facts.repeated()
+    mayHaveRun |= !state.provesNotRun();
+    boolean retryAllowed =
+        attempts < path.settings().maxAttempts()
+            && !facts.isRetry()
             && !exchange.isResponseStarted()
             && path.retries().tryWithdraw();
-    var traits = new RetryConditions(facts.idempotent(), isBodyUntouched(), left, !everPossiblyRun);
-    RetryDecision step = state.decideAfterFailure(traits);
-    switch (step) {
-      case RETRY -> again(cause);
-      case REPORT_NOT_RUN -> tell(cause, reason, Outcome.NOT_RUN);
-      case REPORT_UNKNOWN -> tell(cause, reason, Outcome.UNKNOWN);
+    var conditions = new RetryConditions(facts.idempotent(), isBodyUnread(), retryAllowed, !mayHaveRun);
+    RetryDecision decision = state.decideAfterFailure(conditions);
+    switch (decision) {
+      case RETRY -> retry(cause);
+      case REPORT_NOT_RUN -> reportFailure(cause, reason, Outcome.NOT_RUN);
+      case REPORT_UNKNOWN -> reportFailure(cause, reason, Outcome.UNKNOWN);
       case ABORT_RESPONSE -> IoUtils.safeClose(exchange.getConnection());
     }
   }
 
-  private static Set<Address> with(Set<Address> set, Address a) {
+  private static Set<Address> append(Set<Address> set, Address a) {
     var more = new HashSet<>(set);
     more.add(a);
     return Set.copyOf(more);
   }
 
-  private boolean isBodyUntouched() {
+  private boolean isBodyUnread() {
     return facts.bodiless() || exchange.isRequestChannelAvailable();
   }
 
-  private void again(AttemptEvent cause) {
+  private void retry(AttemptEvent cause) {
     if (cause == AttemptEvent.REFUSED) {
-      routeLater();
+      rerouteLater();
     } else {
       route();
     }
   }
 
-  private void tell(AttemptEvent cause, String reason, Outcome outcome) {
-    send(Problems.ofAttempt(facts.service(), cause, reason, outcome), outcome);
+  private void reportFailure(AttemptEvent cause, String reason, Outcome outcome) {
+    sendProblem(ProblemResponses.ofFailedAttempt(facts.service(), cause, reason, outcome), outcome);
   }
 
-  private void refuseNow(Problem p) {
-    send(p, everPossiblyRun ? Outcome.UNKNOWN : Outcome.NOT_RUN);
+  private void reject(Problem p) {
+    sendProblem(p, mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN);
   }
 
-  private void send(Problem p, Outcome outcome) {
+  private void sendProblem(Problem p, Outcome outcome) {
     if (ended) {
       return;
     }
-    giveClaimBack(outcome);
-    metrics.refused(p.kind());
-    Problems.send(exchange, p, outcome);
+    releaseClaim(outcome);
+    metrics.recordProblem(p.kind());
+    ProblemResponses.send(exchange, p, outcome);
   }
 
   /** Takes the end of the attempts at upstreams that this host schedules. */
-  private final class RaceEnd implements UpstreamRace.End {
+  private final class LocalResultListener implements HedgedRequest.ResultListener {
     private final RouteKey key;
     private final RouteScheduler scheduler;
 
-    RaceEnd(RouteKey key, RouteScheduler scheduler) {
+    LocalResultListener(RouteKey key, RouteScheduler scheduler) {
       this.key = key;
       this.scheduler = scheduler;
     }
 
     @Override
-    public void answered(ClientResponse response, long waitedNanos) {
-      copyAnswer(response, waitedNanos);
+    public void responseStarted(ClientResponse response, long waitedNanos) {
+      copyResponseHead(response, waitedNanos);
       if (facts.forwardedTo().isPresent()) {
-        exchange.getResponseHeaders().put(CactusHeaders.ROUTE_LOAD, RemoteLoads.render(scheduler));
+        exchange.getResponseHeaders().put(CactusHeaders.ROUTE_LOAD, RemoteRouteLoads.render(scheduler));
       }
     }
 
     @Override
     public void failed(Address upstream, AttemptState state, AttemptEvent cause, String reason) {
-      race = null;
-      avoided = with(avoided, upstream);
-      retryOrTell(state, cause, reason);
+      hedgedRequest = null;
+      avoided = append(avoided, upstream);
+      retryOrReport(state, cause, reason);
     }
   }
 
   /** Follows an attempt through the owner of the route. */
-  private final class AtOwner implements Attempt.Listener {
+  private final class ForwardListener implements Attempt.Listener {
     private final Choice choice;
     private boolean misdirected;
 
-    AtOwner(Choice choice) {
+    ForwardListener(Choice choice) {
       this.choice = choice;
     }
 
     @Override
-    public void answered(ClientResponse response, long waitedNanos) {
+    public void responseStarted(ClientResponse response, long waitedNanos) {
       HeaderMap from = response.getResponseHeaders();
       path.remoteLoads().record(choice.target().key(), from.getFirst(CactusHeaders.ROUTE_LOAD));
-      copyAnswer(response, waitedNanos);
+      copyResponseHead(response, waitedNanos);
       // The owner removes this field from upstreams' answers, so here it is the owner's own word.
       String outcome = from.getFirst(CactusHeaders.OUTCOME);
       if (outcome != null) {
@@ -382,8 +382,8 @@
 
     @Override
     public void failed(AttemptState state, AttemptEvent cause, String reason) {
-      passedOn = null;
-      if (misdirected && isWithinWait()) {
+      forwardedAttempt = null;
+      if (misdirected && isWithinQueueTimeout()) {
         // The hosts disagree for a moment, on the members or on the table; nothing was run.
         destinations.failed(choice.target().key().dataCentre());
         attempts -= choice.mayRefuse() ? 0 : 1;
@@ -398,7 +398,7 @@
       if (cause != AttemptEvent.REFUSED) {
         destinations.failed(choice.target().key().dataCentre());
       }
-      retryOrTell(state, cause, reason);
+      retryOrReport(state, cause, reason);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/AnswerHeads.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ResponseChecks.java
@@ -7,19 +7,19 @@
 import io.undertow.util.Methods;
 
 /** Judges the heads of answers. Stateless. */
-final class AnswerHeads {
+final class ResponseChecks {
   private static final int NO_CONTENT = 204;
   private static final int NOT_MODIFIED = 304;
 
-  private AnswerHeads() {}
+  private ResponseChecks() {}
 
   /** Whether the sender says that it did not run the request. */
-  static boolean saysNotRun(ClientResponse r) {
+  static boolean reportsNotRun(ClientResponse r) {
     return CactusHeaders.OUTCOME_NOT_RUN.equals(
         r.getResponseHeaders().getFirst(CactusHeaders.OUTCOME));
   }
 
-  static String refusal(ClientResponse r) {
+  static String refusalReason(ClientResponse r) {
     return "it answered " + r.getResponseCode() + " and said that it did not run the request";
   }
 
@@ -27,7 +27,7 @@
    * Tells why an answer cannot be passed on, or returns an empty text. An answer whose end cannot
    * be told from a cut is not passed on (RFC 9112, section 8).
    */
-  static String framingFault(HttpString method, ClientResponse r) {
+  static String framingError(HttpString method, ClientResponse r) {
     HeaderMap h = r.getResponseHeaders();
     int code = r.getResponseCode();
     boolean bodiless = method.equals(Methods.HEAD) || code == NO_CONTENT || code == NOT_MODIFIED;
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteOwner.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteOwner.java
@@ -20,12 +20,12 @@
   /**
    * Another host.
    *
-   * @param hop how to reach it
+   * @param remoteHost how to reach it
    */
-  record Remote(Hop hop) implements RouteOwner {
+  record Remote(RemoteHost remoteHost) implements RouteOwner {
     /** Checks the hop. */
     public Remote {
-      Objects.requireNonNull(hop, "hop is null");
+      Objects.requireNonNull(remoteHost, "hop is null");
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RouteScheduler.java
@@ -28,11 +28,11 @@
   private final RouteKey key;
   private final LoadBalancingPolicy policy;
   private final Ticker ticker;
-  private final ConcurrentLinkedQueue<Waiter> queue = new ConcurrentLinkedQueue<>();
-  private final AtomicInteger waiting = new AtomicInteger();
+  private final ConcurrentLinkedQueue<LeaseRequest> queue = new ConcurrentLinkedQueue<>();
+  private final AtomicInteger queueSize = new AtomicInteger();
   private final AtomicInteger inFlight = new AtomicInteger();
-  private final AtomicInteger turn = new AtomicInteger();
-  private volatile double usualMs = 1;
+  private final AtomicInteger pickCounter = new AtomicInteger();
+  private volatile double typicalResponseMs = 1;
   private volatile List<Upstream> upstreams = List.of();
   private volatile RouteLimits limits = new RouteLimits(0, 1, 0);
 
@@ -72,8 +72,8 @@
    *
    * @return the count
    */
-  public int waiting() {
-    return Math.max(0, waiting.get());
+  public int queueSize() {
+    return Math.max(0, queueSize.get());
   }
 
   /**
@@ -102,29 +102,29 @@
   public void configure(List<Upstream> next, int inFlightLimit, int perUpstream, int queueLength) {
     upstreams = List.copyOf(next);
     limits = new RouteLimits(inFlightLimit, perUpstream, queueLength);
-    drain();
+    grantQueued();
   }
 
-  void submit(Waiter w) {
+  void submit(LeaseRequest w) {
     if (upstreams.isEmpty()) {
-      w.refuse(
+      w.reject(
           new Problem(
               ProblemKind.NO_UPSTREAM,
               "route " + key + " has no upstream",
               "check the platform's host list, then repeat the request"));
       return;
     }
-    if (waiting.get() >= limits.queueLength() + 1) {
-      w.refuse(
+    if (queueSize.get() >= limits.queueLength() + 1) {
+      w.reject(
           new Problem(
               ProblemKind.OVERLOADED,
-              "route " + key + " has " + waiting.get() + " requests waiting",
+              "route " + key + " has " + queueSize.get() + " requests waiting",
               "repeat the request after a pause, or raise the row's limits"));
       return;
     }
-    waiting.incrementAndGet();
+    queueSize.incrementAndGet();
     queue.add(w);
-    drain();
+    grantQueued();
   }
 
   /**
@@ -132,31 +132,31 @@
    *
    * @param avoided addresses that must not be used
    */
-  @Nullable Lease tryNow(Set<Address> avoided) {
-    return waiting.get() > 0 ? null : tryAhead(avoided);
+  @Nullable Lease tryAcquire(Set<Address> avoided) {
+    return queueSize.get() > 0 ? null : tryAcquireAheadOfQueue(avoided);
   }
 
   /** As {@link #tryNow}, for a request that has waited longer than those in the queue. */
-  @Nullable Lease tryAhead(Set<Address> avoided) {
+  @Nullable Lease tryAcquireAheadOfQueue(Set<Address> avoided) {
     List<Upstream> candidates = avoided.isEmpty() ? upstreams : without(upstreams, avoided);
-    return withinRouteLimit(l -> leaseAmong(candidates, l, 0));
+    return withinRouteLimit(l -> acquireAmong(candidates, l, 0));
   }
 
   /** The usual time of an answer at the last choice, in milliseconds. */
-  double usualMs() {
-    return usualMs;
+  double typicalResponseMs() {
+    return typicalResponseMs;
   }
 
   /** What the upstreams can be expected to do now. */
-  GroupStatistics outlook() {
-    return GroupStatistics.of(views(upstreams, limits, ticker.nanos()));
+  GroupStatistics statistics() {
+    return GroupStatistics.of(snapshots(upstreams, limits, ticker.nanos()));
   }
 
   /** How long one more request would wait, in milliseconds. */
   double expectedWaitMs() {
-    GroupStatistics o = outlook();
+    GroupStatistics o = statistics();
     boolean routeFull = inFlight.get() >= limits.inFlight();
-    int ahead = waiting() + 1;
+    int ahead = queueSize() + 1;
     return routeFull ? o.estimatedWaitMs(o.fastFreeCapacity() + ahead) : o.estimatedWaitMs(ahead);
   }
 
@@ -165,16 +165,16 @@
    *
    * @param problem what the requests are told
    */
-  public void refuseAll(Problem problem) {
-    for (Waiter w = poll(); w != null; w = poll()) {
-      w.refuse(problem);
+  public void rejectAll(Problem problem) {
+    for (LeaseRequest w = poll(); w != null; w = poll()) {
+      w.reject(problem);
     }
   }
 
   /** Grants leases while there are waiting requests and free capacity. */
-  public void drain() {
+  public void grantQueued() {
     while (true) {
-      Waiter head = peekWaiting();
+      LeaseRequest head = peekPending();
       if (head == null) {
         return;
       }
@@ -182,35 +182,35 @@
       if (lease == null) {
         return;
       }
-      Waiter w = poll();
+      LeaseRequest w = poll();
       if (w == null || !w.grant(lease)) {
         lease.release();
       }
     }
   }
 
-  private @Nullable Waiter peekWaiting() {
-    for (Waiter w = queue.peek(); w != null; w = queue.peek()) {
-      if (w.isWaiting()) {
+  private @Nullable LeaseRequest peekPending() {
+    for (LeaseRequest w = queue.peek(); w != null; w = queue.peek()) {
+      if (w.isPending()) {
         return w;
       }
       if (queue.remove(w)) {
-        waiting.decrementAndGet();
+        queueSize.decrementAndGet();
       }
     }
     return null;
   }
 
-  private @Nullable Waiter poll() {
-    Waiter w = queue.poll();
+  private @Nullable LeaseRequest poll() {
+    LeaseRequest w = queue.poll();
     if (w != null) {
-      waiting.decrementAndGet();
+      queueSize.decrementAndGet();
     }
     return w;
   }
 
   private @Nullable Lease tryLease(Set<Address> avoided) {
-    return withinRouteLimit(l -> leaseAtUpstream(l, avoided));
+    return withinRouteLimit(l -> acquirePreferringOthers(l, avoided));
   }
 
   private @Nullable Lease withinRouteLimit(Function<RouteLimits, @Nullable Lease> find) {
@@ -226,35 +226,35 @@
     return lease;
   }
 
-  private @Nullable Lease leaseAtUpstream(RouteLimits l, Set<Address> avoided) {
+  private @Nullable Lease acquirePreferringOthers(RouteLimits l, Set<Address> avoided) {
     List<Upstream> candidates = upstreams;
-    int waits = Math.max(1, waiting.get());
+    int queuedRequests = Math.max(1, queueSize.get());
     if (!avoided.isEmpty()) {
-      Lease elsewhere = leaseAmong(without(candidates, avoided), l, waits);
+      Lease elsewhere = acquireAmong(without(candidates, avoided), l, queuedRequests);
       if (elsewhere != null) {
         return elsewhere;
       }
     }
-    return leaseAmong(candidates, l, waits);
+    return acquireAmong(candidates, l, queuedRequests);
   }
 
   private static List<Upstream> without(List<Upstream> all, Set<Address> avoided) {
     return all.stream().filter(u -> !avoided.contains(u.address())).toList();
   }
 
-  private @Nullable Lease leaseAmong(List<Upstream> candidates, RouteLimits l, int waits) {
+  private @Nullable Lease acquireAmong(List<Upstream> candidates, RouteLimits l, int queuedRequests) {
     // Another thread may take the chosen place first; each retry sees the newer counts.
     for (int i = 0; i <= candidates.size(); i++) {
       long now = ticker.nanos();
-      List<UpstreamSnapshot> views = views(candidates, l, now);
-      GroupStatistics outlook = GroupStatistics.of(views);
-      usualMs = outlook.typicalCostMs();
-      OptionalInt choice = policy.pick(views, outlook, turn.getAndIncrement(), waits);
+      List<UpstreamSnapshot> upstreamSnapshots = snapshots(candidates, l, now);
+      GroupStatistics groupStatistics = GroupStatistics.of(upstreamSnapshots);
+      typicalResponseMs = groupStatistics.typicalCostMs();
+      OptionalInt choice = policy.pick(upstreamSnapshots, groupStatistics, pickCounter.getAndIncrement(), queuedRequests);
       if (choice.isEmpty()) {
         return null;
       }
-      int at = choice.getAsInt();
-      Lease lease = candidates.get(at).tryLease(views.get(at).limit(), this, now);
+      int index = choice.getAsInt();
+      Lease lease = candidates.get(index).tryLease(upstreamSnapshots.get(index).limit(), this, now);
       if (lease != null) {
         return lease;
       }
@@ -262,17 +262,17 @@
     return null;
   }
 
-  private static List<UpstreamSnapshot> views(List<Upstream> upstreams, RouteLimits l, long now) {
-    var views = new ArrayList<UpstreamSnapshot>(upstreams.size());
+  private static List<UpstreamSnapshot> snapshots(List<Upstream> upstreams, RouteLimits l, long now) {
+    var result = new ArrayList<UpstreamSnapshot>(upstreams.size());
     for (Upstream u : upstreams) {
-      views.add(u.view(l.perUpstream(), now));
+      result.add(u.snapshot(l.perUpstream(), now));
     }
-    return views;
+    return result;
   }
 
-  void released(Lease lease) {
-    lease.upstream().released(lease, ticker.nanos());
+  void onRelease(Lease lease) {
+    lease.upstream().onRelease(lease, ticker.nanos());
     inFlight.decrementAndGet();
-    drain();
+    grantQueued();
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/RoutingView.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/RoutingView.java
@@ -23,7 +23,7 @@
     DataCentre home,
     boolean configured,
     Map<ServiceName, ServiceView> services,
-    List<Entry> entries) {
+    List<EntryEndpoint> entries) {
 
   /** Copies the collections. */
   public RoutingView {
@@ -32,7 +32,7 @@
     entries = List.copyOf(entries);
   }
 
-  boolean knows(ServiceName service) {
+  boolean contains(ServiceName service) {
     return services.containsKey(service);
   }
 
@@ -48,7 +48,7 @@
    */
   public Optional<RouteOwner> owner(RouteKey key) {
     ServiceView s = services.get(key.service());
-    ServiceView.Target t = s == null ? null : s.at(key.dataCentre());
+    ServiceView.Target t = s == null ? null : s.targetIn(key.dataCentre());
     return t == null ? Optional.empty() : Optional.of(t.owner());
   }
 
--- a/host/src/main/java/dev/cactusstack/host/callers/ServiceFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ServiceFilter.java
@@ -29,9 +29,9 @@
 
   private static final Pattern DEADLINE_FORM = Pattern.compile("[0-9]{1,9}");
 
-  private final DataPath path;
+  private final DataPathContext path;
 
-  ServiceFilter(DataPath path) {
+  ServiceFilter(DataPathContext path) {
     this.path = path;
   }
 
@@ -39,7 +39,7 @@
   public void handleRequest(HttpServerExchange x) {
     long arrived = path.ticker().nanos();
     if (x.getRequestMethod().equals(Methods.CONNECT)) {
-      Problems.send(
+      ProblemResponses.send(
           x, Problem.invalid("CONNECT is not served", "use another method"), Outcome.NOT_RUN);
       return;
     }
@@ -47,7 +47,7 @@
         .flatMap(s -> facts(x, s, arrived))
         .fold(
             p -> {
-              Problems.send(x, p, Outcome.NOT_RUN);
+              ProblemResponses.send(x, p, Outcome.NOT_RUN);
               return true;
             },
             f -> {
@@ -66,25 +66,25 @@
         .flatMap(
             s -> {
               RoutingView v = path.view().get();
-              return v.knows(s)
+              return v.contains(s)
                   ? Result.success(s)
-                  : Result.failure(EntriesFilter.unknownService(v, s));
+                  : Result.failure(EntryLookupFilter.unknownService(v, s));
             });
   }
 
-  private Result<RequestFacts> facts(HttpServerExchange x, ServiceName s, long arrived) {
+  private Result<RequestAttributes> facts(HttpServerExchange x, ServiceName s, long arrived) {
     String token = x.getRequestHeaders().getFirst(CactusHeaders.FORWARDED);
     if (token == null || !path.token().verify(token)) {
-      path.arrivals().count(s);
+      path.arrivals().recordArrival(s);
       return Result.success(facts(x, s, arrived, Optional.empty()));
     }
     return ownedDataCentre(x, s).map(d -> facts(x, s, arrived, Optional.of(d)));
   }
 
-  private static RequestFacts facts(
+  private static RequestAttributes facts(
       HttpServerExchange x, ServiceName s, long arrived, Optional<DataCentre> forwardedTo) {
     HeaderMap h = x.getRequestHeaders();
-    return new RequestFacts(
+    return new RequestAttributes(
         s,
         IDEMPOTENT.contains(x.getRequestMethod()),
         x.isRequestComplete(),
@@ -98,7 +98,7 @@
   /** A deadline that cannot be read counts as none. */
   private static long deadline(@Nullable String ms, long arrived) {
     if (ms == null || !DEADLINE_FORM.matcher(ms).matches()) {
-      return RequestFacts.NO_DEADLINE;
+      return RequestAttributes.NO_DEADLINE;
     }
     return arrived + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(ms));
   }
@@ -120,7 +120,7 @@
             });
   }
 
-  private void run(HttpServerExchange x, RequestFacts facts) {
-    x.dispatch(SameThreadExecutor.INSTANCE, () -> new RequestRun(x, facts, path).start());
+  private void run(HttpServerExchange x, RequestAttributes facts) {
+    x.dispatch(SameThreadExecutor.INSTANCE, () -> new RequestExecution(x, facts, path).start());
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/callers/ServiceView.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/ServiceView.java
@@ -21,7 +21,7 @@
     targets = List.copyOf(targets);
   }
 
-  @Nullable Target at(DataCentre d) {
+  @Nullable Target targetIn(DataCentre d) {
     for (Target t : targets) {
       if (t.key().dataCentre().equals(d)) {
         return t;
--- a/host/src/main/java/dev/cactusstack/host/callers/TimerWheel.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/TimerWheel.java
@@ -21,7 +21,7 @@
   private final Timer[] buckets = new Timer[BUCKETS];
   private int position;
   private int count;
-  private boolean turning;
+  private boolean advancing;
 
   /**
    * A scheduled task; also the head of a bucket's circular list. Confined to the wheel's thread.
@@ -29,8 +29,8 @@
   static final class Timer {
     private @Nullable Runnable task;
     private @Nullable TimerWheel wheel;
-    private Timer before = this;
-    private Timer after = this;
+    private Timer previous = this;
+    private Timer next = this;
     private long rounds;
 
     /** Takes the timer out, unless it has run. */
@@ -45,10 +45,10 @@
     }
 
     private void unlink() {
-      before.after = after;
-      after.before = before;
-      before = this;
-      after = this;
+      previous.next = next;
+      next.previous = previous;
+      previous = this;
+      next = this;
     }
   }
 
@@ -66,50 +66,50 @@
     t.wheel = this;
     t.rounds = (ticks - 1) / BUCKETS;
     Timer head = buckets[(int) ((position + ticks) % BUCKETS)];
-    t.before = head.before;
-    t.after = head;
-    head.before.after = t;
-    head.before = t;
+    t.previous = head.previous;
+    t.next = head;
+    head.previous.next = t;
+    head.previous = t;
     count++;
-    if (!turning) {
-      turning = true;
-      turnLater();
+    if (!advancing) {
+      advancing = true;
+      scheduleAdvance();
     }
     return t;
   }
 
-  private void turnLater() {
+  private void scheduleAdvance() {
     try {
-      thread.executeAfter(this::turn, TICK_MS, TimeUnit.MILLISECONDS);
+      thread.executeAfter(this::advance, TICK_MS, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
       // The thread is shutting down, and closes every connection that a timer guards.
-      turning = false;
+      advancing = false;
     }
   }
 
-  private void turn() {
+  private void advance() {
     position = (position + 1) % BUCKETS;
-    due(buckets[position]).forEach(TimerWheel::fire);
-    turning = count > 0;
-    if (turning) {
-      turnLater();
+    expired(buckets[position]).forEach(TimerWheel::fire);
+    advancing = count > 0;
+    if (advancing) {
+      scheduleAdvance();
     }
   }
 
   /** Takes no timer out yet: a task that runs may cancel those after it. */
-  private static List<Timer> due(Timer head) {
-    List<Timer> due = List.of();
-    for (Timer t = head.after; t != head; t = t.after) {
+  private static List<Timer> expired(Timer head) {
+    List<Timer> expired = List.of();
+    for (Timer t = head.next; t != head; t = t.next) {
       if (t.rounds > 0) {
         t.rounds--;
         continue;
       }
-      if (due.isEmpty()) {
-        due = new ArrayList<>();
+      if (expired.isEmpty()) {
+        expired = new ArrayList<>();
       }
-      due.add(t);
+      expired.add(t);
     }
-    return due;
+    return expired;
   }
 
   private static void fire(Timer t) {
--- a/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
+++ b/host/src/main/java/dev/cactusstack/host/callers/Upstream.java
@@ -18,12 +18,12 @@
  * Thread-safe without locks.
  */
 public final class Upstream {
-  private static final long KNOWLEDGE_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long STATE_EXPIRY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final Address address;
   private final AtomicInteger inFlight = new AtomicInteger();
   private final ConcurrentLinkedDeque<Lease> leases = new ConcurrentLinkedDeque<>();
-  private volatile long lastEndNanos;
+  private volatile long lastReleaseNanos;
   private final AtomicReference<UpstreamHealth> health =
       new AtomicReference<>(UpstreamHealth.INITIAL);
 
@@ -66,11 +66,11 @@
   /**
    * Takes one observation into account.
    *
-   * @param e the observation
+   * @param observation the observation
    * @param nowMs when it was made
    */
-  public void observe(Observation e, long nowMs) {
-    health.updateAndGet(h -> Objects.requireNonNull(h).observe(e, nowMs));
+  public void observe(Observation observation, long nowMs) {
+    health.updateAndGet(h -> Objects.requireNonNull(h).observe(observation, nowMs));
   }
 
   /**
@@ -79,29 +79,29 @@
    *
    * @param nowNanos the present time
    */
-  public void expireKnowledge(long nowNanos) {
-    boolean quiet = inFlight.get() == 0 && nowNanos - lastEndNanos > KNOWLEDGE_NANOS;
-    if (quiet && health().state() == UpstreamState.WARM) {
+  public void expireState(long nowNanos) {
+    boolean idle = inFlight.get() == 0 && nowNanos - lastReleaseNanos > STATE_EXPIRY_NANOS;
+    if (idle && health().state() == UpstreamState.WARM) {
       observe(new Observation.StateExpired(), TimeUnit.NANOSECONDS.toMillis(nowNanos));
     }
   }
 
-  UpstreamSnapshot view(int operatorLimit, long nowNanos) {
+  UpstreamSnapshot snapshot(int operatorLimit, long nowNanos) {
     UpstreamHealth h = health();
     long nowMs = TimeUnit.NANOSECONDS.toMillis(nowNanos);
     return new UpstreamSnapshot(
         inFlight.get(),
         h.effectiveLimit(operatorLimit, nowMs),
         h.latencyMs(),
-        oldestMs(nowNanos),
-        inFlight.get() > 0 ? 0 : Math.max(0, (nowNanos - lastEndNanos) / 1e6),
+        oldestRequestAgeMs(nowNanos),
+        inFlight.get() > 0 ? 0 : Math.max(0, (nowNanos - lastReleaseNanos) / 1e6),
         h.failureRate());
   }
 
-  private double oldestMs(long nowNanos) {
+  private double oldestRequestAgeMs(long nowNanos) {
     for (Lease l = leases.peekFirst(); l != null; l = leases.peekFirst()) {
       if (!l.isReleased()) {
-        return Math.max(0, (nowNanos - l.startNanos()) / 1e6);
+        return Math.max(0, (nowNanos - l.grantedAtNanos()) / 1e6);
       }
       leases.remove(l);
     }
@@ -120,8 +120,8 @@
     return lease;
   }
 
-  void released(Lease lease, long nowNanos) {
-    lastEndNanos = nowNanos;
+  void onRelease(Lease lease, long nowNanos) {
+    lastReleaseNanos = nowNanos;
     inFlight.decrementAndGet();
     // The common case is that the oldest ends first; others are removed when they become the
     // oldest.
--- a/host/src/main/java/dev/cactusstack/host/control/RatesController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ArrivalRateController.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 
 /** Tells the group how many requests of each service arrive here. Confined to the control loop. */
-public final class RatesController {
+public final class ArrivalRateController {
   private static final long INTERVAL_MS = 1_000;
   private static final double SMOOTHING = 0.4;
   private static final double NEGLIGIBLE = 0.5;
@@ -28,7 +28,7 @@
    * @param members announces the rates
    * @param ticker the clock
    */
-  public RatesController(ArrivalCounter arrivals, MembershipController members, Ticker ticker) {
+  public ArrivalRateController(ArrivalCounter arrivals, MembershipController members, Ticker ticker) {
     this.arrivals = Objects.requireNonNull(arrivals, "arrivals is null");
     this.members = Objects.requireNonNull(members, "members is null");
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
@@ -42,7 +42,7 @@
       return;
     }
     lastMs = now;
-    Map<ServiceName, Long> counts = arrivals.take();
+    Map<ServiceName, Long> counts = arrivals.takeCounts();
     counts.forEach((s, n) -> smooth(s, n * 1e3 / elapsed));
     perSecond.values().removeIf(r -> r < NEGLIGIBLE);
     var rates = new ArrayList<ServiceRate>();
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -5,7 +5,7 @@
 import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.host.observe.Event;
 import dev.cactusstack.host.observe.Ticker;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.link.ChangeCursor;
 import dev.cactusstack.link.LinkBody;
 import dev.cactusstack.link.LinkMessage;
@@ -35,10 +35,10 @@
   private static final int READERS_PER_DATA_CENTRE = 2;
 
   /** Every host reads this much less often than a reader, in case the readers are cut off. */
-  private static final int BACKSTOP_FACTOR = 10;
+  private static final int NON_READER_INTERVAL_FACTOR = 10;
 
   /** Rows with all their operation ids must fit the datagram that a receiver takes. */
-  private static final int ROWS_PER_PAGE = 3;
+  private static final int MAX_ROWS_PER_PAGE = 3;
 
   private static final long PULL_TIMEOUT_MS = 200;
 
@@ -52,11 +52,11 @@
   private volatile ConfigurationTable inForce = ConfigurationTable.EMPTY;
   private volatile boolean storeReachable;
   private boolean reading;
-  private long nextReadMs;
+  private long nextReadAtMs;
   private @Nullable Pull pull;
 
   /** Rows being taken from another host, page by page. */
-  private record Pull(Address from, ChangeCursor after, ConfigurationTable rows, long sentMs) {}
+  private record Pull(Address from, ChangeCursor cursor, ConfigurationTable rows, long sentAtMs) {}
 
   /**
    * Creates a controller without any configuration.
@@ -105,7 +105,7 @@
   public void refresh() {
     loop.execute(
         () -> {
-          nextReadMs = 0;
+          nextReadAtMs = 0;
           tick();
         });
   }
@@ -115,18 +115,18 @@
    *
    * @param rows the rows
    */
-  public void learn(ConfigurationTable rows) {
+  public void applyAsync(ConfigurationTable rows) {
     Objects.requireNonNull(rows, "rows is null");
     loop.execute(() -> apply(rows, "operator"));
   }
 
-  void onChange(Consumer<ConfigurationTable> listener) {
+  void addListener(Consumer<ConfigurationTable> listener) {
     listeners.add(listener);
   }
 
   void tick() {
     long now = ticker.millis();
-    if (!reading && now >= nextReadMs) {
+    if (!reading && now >= nextReadAtMs) {
       read(now);
     }
     pullIfBehind(now);
@@ -134,9 +134,9 @@
 
   private void read(long now) {
     reading = true;
-    nextReadMs = now + (isReader() ? readIntervalMs : readIntervalMs * BACKSTOP_FACTOR);
+    nextReadAtMs = now + (isReader() ? readIntervalMs : readIntervalMs * NON_READER_INTERVAL_FACTOR);
     store
-        .changesAfter(inForce.version())
+        .readChanges(inForce.version())
         .whenComplete((rows, t) -> loop.execute(() -> finishRead(rows, t)));
   }
 
@@ -149,12 +149,12 @@
           "%s",
           Event.named("table_service")
               .with("reachable", ok)
-              .with("reason", t == null ? "" : String.valueOf(HttpFailure.of(t).getMessage())));
+              .with("reason", t == null ? "" : String.valueOf(HttpException.from(t).getMessage())));
     }
     if (rows != null) {
       apply(rows, "table");
     } else {
-      nextReadMs = Math.min(nextReadMs, ticker.millis() + readIntervalMs);
+      nextReadAtMs = Math.min(nextReadAtMs, ticker.millis() + readIntervalMs);
     }
   }
 
@@ -176,16 +176,16 @@
 
   private void pullIfBehind(long now) {
     Pull p = pull;
-    if (p != null && now - p.sentMs < PULL_TIMEOUT_MS) {
+    if (p != null && now - p.sentAtMs < PULL_TIMEOUT_MS) {
       return;
     }
     pull = null;
-    newerHost()
+    findNewerHost()
         .ifPresent(
-            to -> ask(to, ChangeCursor.afterVersion(inForce.version()), ConfigurationTable.EMPTY));
+            to -> requestPage(to, ChangeCursor.afterVersion(inForce.version()), ConfigurationTable.EMPTY));
   }
 
-  private Optional<Address> newerHost() {
+  private Optional<Address> findNewerHost() {
     SortedMap<HostId, Member> all = members.members();
     Member self = members.self();
     return all.values().stream()
@@ -198,26 +198,26 @@
         .map(m -> m.info().link());
   }
 
-  private void ask(Address to, ChangeCursor after, ConfigurationTable rows) {
+  private void requestPage(Address to, ChangeCursor after, ConfigurationTable rows) {
     pull = new Pull(to, after, rows, ticker.millis());
     sender.send(to, new LinkMessage(members.self(), List.of(), new LinkBody.ChangesQuery(after)));
   }
 
-  void answer(Address from, LinkBody.ChangesQuery q) {
-    LinkBody.ChangesPage page = q.after().page(inForce, ROWS_PER_PAGE);
+  void sendPage(Address from, LinkBody.ChangesQuery q) {
+    LinkBody.ChangesPage page = q.cursor().readPage(inForce, MAX_ROWS_PER_PAGE);
     sender.send(from, new LinkMessage(members.self(), List.of(), page));
   }
 
-  void receive(Address from, LinkBody.ChangesPage page) {
+  void receivePage(Address from, LinkBody.ChangesPage page) {
     Pull p = pull;
     if (p == null || !p.from.equals(from)) {
       return;
     }
     ConfigurationTable rows = p.rows.merge(page.rows());
-    ChangeCursor last = ChangeCursor.lastOf(page.rows());
-    if (page.more() && last.compareTo(p.after) > 0) {
-      ask(from, last, rows);
-    } else if (!page.more()) {
+    ChangeCursor last = ChangeCursor.ofLastRow(page.rows());
+    if (page.hasMore() && last.compareTo(p.cursor) > 0) {
+      requestPage(from, last, rows);
+    } else if (!page.hasMore()) {
       pull = null;
       apply(rows, "host");
     }
--- a/host/src/main/java/dev/cactusstack/host/control/ControlLoop.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ControlLoop.java
@@ -24,16 +24,16 @@
  */
 public final class ControlLoop implements Executor, AutoCloseable {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int RING_SIZE = 4_096;
-  private static final long TICK_MS = 50;
+  private static final int RING_BUFFER_SIZE = 4_096;
+  private static final long TICK_INTERVAL_MS = 50;
 
   private final Ticker ticker;
-  private final Disruptor<Slot> disruptor;
-  private final List<Runnable> tickers = new CopyOnWriteArrayList<>();
-  private long nextTickMs;
+  private final Disruptor<TaskEvent> disruptor;
+  private final List<Runnable> tickTasks = new CopyOnWriteArrayList<>();
+  private long nextTickAtMs;
 
   /** A place of the ring. Written by one producer, then read by the loop. */
-  private static final class Slot {
+  private static final class TaskEvent {
     private @Nullable Runnable task;
   }
 
@@ -47,12 +47,12 @@
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     this.disruptor =
         new Disruptor<>(
-            Slot::new,
-            RING_SIZE,
+            TaskEvent::new,
+            RING_BUFFER_SIZE,
             r -> daemon(r, "control-" + name),
             ProducerType.MULTI,
-            new TimeoutBlockingWaitStrategy(TICK_MS, TimeUnit.MILLISECONDS));
-    disruptor.handleEventsWith(new Handler());
+            new TimeoutBlockingWaitStrategy(TICK_INTERVAL_MS, TimeUnit.MILLISECONDS));
+    disruptor.handleEventsWith(new TaskHandler());
   }
 
   private static Thread daemon(Runnable r, String name) {
@@ -71,8 +71,8 @@
    *
    * @param tick the task
    */
-  public void onTick(Runnable tick) {
-    tickers.add(Objects.requireNonNull(tick, "tick is null"));
+  public void addTickTask(Runnable tick) {
+    tickTasks.add(Objects.requireNonNull(tick, "tick is null"));
   }
 
   @Override
@@ -87,7 +87,7 @@
    * @param task the task
    * @return false when it was dropped
    */
-  public boolean offer(Runnable task) {
+  public boolean tryExecute(Runnable task) {
     Objects.requireNonNull(task, "task is null");
     return disruptor.getRingBuffer().tryPublishEvent((slot, sequence) -> slot.task = task);
   }
@@ -95,12 +95,12 @@
   /**
    * Computes a value on the loop.
    *
-   * @param s computes it
+   * @param supplier computes it
    * @param <T> its type
    * @return the value, later
    */
-  public <T> CompletableFuture<T> ask(Supplier<T> s) {
-    return CompletableFuture.supplyAsync(s, this);
+  public <T> CompletableFuture<T> compute(Supplier<T> supplier) {
+    return CompletableFuture.supplyAsync(supplier, this);
   }
 
   @Override
@@ -110,11 +110,11 @@
 
   private void tickIfDue() {
     long now = ticker.millis();
-    if (now < nextTickMs) {
+    if (now < nextTickAtMs) {
       return;
     }
-    nextTickMs = now + TICK_MS;
-    tickers.forEach(this::runSafely);
+    nextTickAtMs = now + TICK_INTERVAL_MS;
+    tickTasks.forEach(this::runSafely);
   }
 
   private void runSafely(Runnable task) {
@@ -126,9 +126,9 @@
   }
 
   /** Receives the ring's events. Runs on the loop's thread. */
-  private final class Handler implements EventHandler<Slot> {
+  private final class TaskHandler implements EventHandler<TaskEvent> {
     @Override
-    public void onEvent(Slot slot, long sequence, boolean endOfBatch) {
+    public void onEvent(TaskEvent slot, long sequence, boolean endOfBatch) {
       Runnable task = slot.task;
       slot.task = null;
       if (task != null) {
--- a/host/src/main/java/dev/cactusstack/host/control/Controllers.java
+++ b/host/src/main/java/dev/cactusstack/host/control/Controllers.java
@@ -26,17 +26,17 @@
       MembershipController members,
       ConfigurationController configuration,
       UpstreamsController upstreams,
-      RatesController rates) {
+      ArrivalRateController rates) {
     this.loop = Objects.requireNonNull(loop, "loop is null");
     this.members = Objects.requireNonNull(members, "members is null");
     this.configuration = Objects.requireNonNull(configuration, "configuration is null");
     this.upstreams = Objects.requireNonNull(upstreams, "upstreams is null");
-    members.onChange(upstreams::changeMembers);
-    configuration.onChange(upstreams::changeTable);
-    loop.onTick(members::tick);
-    loop.onTick(configuration::tick);
-    loop.onTick(upstreams::tick);
-    loop.onTick(rates::tick);
+    members.addListener(upstreams::onMembersChange);
+    configuration.addListener(upstreams::onTableChange);
+    loop.addTickTask(members::tick);
+    loop.addTickTask(configuration::tick);
+    loop.addTickTask(upstreams::tick);
+    loop.addTickTask(rates::tick);
   }
 
   /**
@@ -78,16 +78,16 @@
    * @param m the message
    */
   public void receive(Address from, LinkMessage m) {
-    loop.offer(() -> dispatch(from, m));
+    loop.tryExecute(() -> dispatch(from, m));
   }
 
   private void dispatch(Address from, LinkMessage m) {
-    if (m.body() instanceof LinkBody.Detection d) {
-      members.receive(from, d.probe(), m);
+    if (m.body() instanceof LinkBody.FailureDetection d) {
+      members.receive(from, d.message(), m);
     } else if (m.body() instanceof LinkBody.ChangesQuery q) {
-      configuration.answer(from, q);
+      configuration.sendPage(from, q);
     } else if (m.body() instanceof LinkBody.ChangesPage p) {
-      configuration.receive(from, p);
+      configuration.receivePage(from, p);
     }
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import dev.cactusstack.decisions.recovery.ChangePlan;
 import dev.cactusstack.host.observe.Event;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.EditOutcome;
 import dev.cactusstack.model.Problem;
@@ -25,8 +25,8 @@
  */
 public final class EditService {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int MAX_TRIES = 5;
-  private static final long RETRY_PAUSE_MS = 100;
+  private static final int MAX_ATTEMPTS = 5;
+  private static final long RETRY_DELAY_MS = 100;
 
   private final TableStore store;
   private final ConfigurationController configuration;
@@ -50,7 +50,7 @@
    */
   public CompletableFuture<EditOutcome> commit(ChangePlan plan) {
     Objects.requireNonNull(plan, "plan is null");
-    return new Run(plan)
+    return new EditExecution(plan)
         .readAndCommit(1)
         .exceptionally(t -> new EditOutcome.Unknown(plan.operation(), internal(t)))
         .thenApply(o -> logged(plan, o));
@@ -71,38 +71,38 @@
   }
 
   /** The progress of one change. Its steps run one after the other. */
-  private final class Run {
+  private final class EditExecution {
     private final ChangePlan plan;
 
     /** A commit whose answer was lost, and that may still take effect. */
-    private ChangePlan.Step.@Nullable Commit lost;
+    private ChangePlan.Step.@Nullable Commit unconfirmedCommit;
 
-    Run(ChangePlan plan) {
+    EditExecution(ChangePlan plan) {
       this.plan = plan;
     }
 
     CompletableFuture<EditOutcome> readAndCommit(int tries) {
       ConfigurationTable known = configuration.inForce();
       return store
-          .changesAfter(known.version())
+          .readChanges(known.version())
           .handle(
               (rows, t) ->
-                  t == null ? decide(known.merge(rows), tries) : again(tries, HttpFailure.of(t)))
+                  t == null ? decide(known.merge(rows), tries) : retryLater(tries, HttpException.from(t)))
           .thenCompose(f -> f);
     }
 
     private CompletableFuture<EditOutcome> decide(ConfigurationTable now, int tries) {
-      configuration.learn(now);
-      ChangePlan.Step.Commit earlier = lost;
+      configuration.applyAsync(now);
+      ChangePlan.Step.Commit earlier = unconfirmedCommit;
       if (earlier == null) {
-        return start(now, tries);
+        return startCommit(now, tries);
       }
       return switch (earlier.statusIn(now)) {
         case APPLIED ->
             done(new EditOutcome.Accepted(plan.appliedVersion(now).orElse(now.version())));
         case NOT_APPLIED -> {
-          lost = null;
-          yield start(now, tries);
+          unconfirmedCommit = null;
+          yield startCommit(now, tries);
         }
         // Only one of two commits that expect the same versions can take effect.
         case PENDING -> commit(earlier, now, tries);
@@ -110,7 +110,7 @@
       };
     }
 
-    private CompletableFuture<EditOutcome> start(ConfigurationTable now, int tries) {
+    private CompletableFuture<EditOutcome> startCommit(ConfigurationTable now, int tries) {
       ChangePlan.Step step = plan.nextStep(now);
       return step instanceof ChangePlan.Step.Commit c
           ? commit(c, now, tries)
@@ -123,7 +123,7 @@
           .commit(c.routes(), c.dataCentres())
           .handle(
               (o, t) ->
-                  t == null ? committed(c, base, o, tries) : failed(c, HttpFailure.of(t), tries))
+                  t == null ? committed(c, base, o, tries) : failed(c, HttpException.from(t), tries))
           .thenCompose(f -> f);
     }
 
@@ -134,32 +134,32 @@
         // commit
         // itself, unless another edit came between, whose rows this host has not seen.
         if (c.revision() == base.version() + 1) {
-          configuration.learn(commit.committedAt(c.revision()));
+          configuration.applyAsync(commit.committedAt(c.revision()));
         }
         configuration.refresh();
         return done(new EditOutcome.Accepted(c.revision()));
       }
-      if (o instanceof CommitOutcome.Refused r && lost == null) {
+      if (o instanceof CommitOutcome.Rejected r && unconfirmedCommit == null) {
         return done(notAccepted("the table service refused the edit: " + r.reason()));
       }
-      return again(tries, new HttpFailure(lost != null, "another edit was committed meanwhile"));
+      return retryLater(tries, new HttpException(unconfirmedCommit != null, "another edit was committed meanwhile"));
     }
 
     private CompletableFuture<EditOutcome> failed(
-        ChangePlan.Step.Commit c, HttpFailure f, int tries) {
-      if (f.mayBeProcessed()) {
-        lost = c;
+        ChangePlan.Step.Commit c, HttpException f, int tries) {
+      if (f.mayHaveBeenProcessed()) {
+        unconfirmedCommit = c;
       }
-      return again(tries, f);
+      return retryLater(tries, f);
     }
 
-    private CompletableFuture<EditOutcome> again(int tries, HttpFailure cause) {
-      if (tries >= MAX_TRIES) {
+    private CompletableFuture<EditOutcome> retryLater(int tries, HttpException cause) {
+      if (tries >= MAX_ATTEMPTS) {
         String reason = String.valueOf(cause.getMessage());
-        return done(lost != null ? unknown(reason) : notAccepted(reason));
+        return done(unconfirmedCommit != null ? unknown(reason) : notAccepted(reason));
       }
       Executor later =
-          CompletableFuture.delayedExecutor(RETRY_PAUSE_MS * tries, TimeUnit.MILLISECONDS);
+          CompletableFuture.delayedExecutor(RETRY_DELAY_MS * tries, TimeUnit.MILLISECONDS);
       return CompletableFuture.supplyAsync(() -> readAndCommit(tries + 1), later)
           .thenCompose(f -> f);
     }
--- a/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
@@ -28,9 +28,9 @@
 /** Keeps the members of the group. Confined to the control loop, except {@link #members}. */
 public final class MembershipController {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final int MAX_RATES = 16;
-  private static final double RATE_CHANGE = 0.25;
-  private static final double NOISE_DEVIATIONS = 3;
+  private static final int MAX_ANNOUNCED_RATES = 16;
+  private static final double MIN_RELATIVE_RATE_CHANGE = 0.25;
+  private static final double NOISE_STANDARD_DEVIATIONS = 3;
 
   private final Membership membership;
   private final LinkSender sender;
@@ -70,7 +70,7 @@
     return membership.roundTripMs(id);
   }
 
-  void onChange(Consumer<SortedMap<HostId, Member>> listener) {
+  void addListener(Consumer<SortedMap<HostId, Member>> listener) {
     listeners.add(listener);
   }
 
@@ -84,7 +84,7 @@
     publish();
   }
 
-  void list(Collection<Address> links) {
+  void updateListedHosts(Collection<Address> links) {
     membership.updateHostList(links);
   }
 
@@ -98,30 +98,30 @@
 
   /** Announces the arrival rates when one has changed by a quarter or more. */
   void announceRates(List<ServiceRate> rates) {
-    List<ServiceRate> top =
+    List<ServiceRate> highestRates =
         rates.stream()
             .sorted((a, b) -> Float.compare(b.perSecond(), a.perSecond()))
-            .limit(MAX_RATES)
+            .limit(MAX_ANNOUNCED_RATES)
             .toList();
-    if (differs(self().info().rates(), top)) {
-      announce(self().info().withRates(top));
+    if (haveRatesChanged(self().info().rates(), highestRates)) {
+      announce(self().info().withRates(highestRates));
     }
   }
 
-  private static boolean differs(List<ServiceRate> before, List<ServiceRate> now) {
+  private static boolean haveRatesChanged(List<ServiceRate> before, List<ServiceRate> now) {
     var old = new TreeMap<String, Float>();
     before.forEach(r -> old.put(r.service().value(), r.perSecond()));
     return old.size() != now.size()
-        || now.stream().anyMatch(r -> moved(old.get(r.service().value()), r.perSecond()));
+        || now.stream().anyMatch(r -> hasRateChanged(old.get(r.service().value()), r.perSecond()));
   }
 
   /** A change counts when it is larger than a quarter and than the noise of random arrivals. */
-  private static boolean moved(@Nullable Float before, float now) {
+  private static boolean hasRateChanged(@Nullable Float before, float now) {
     if (before == null) {
       return now > 0;
     }
-    double noise = NOISE_DEVIATIONS * Math.sqrt(Math.max(1, before));
-    return Math.abs(now - before) > Math.max(noise, RATE_CHANGE * before);
+    double noise = NOISE_STANDARD_DEVIATIONS * Math.sqrt(Math.max(1, before));
+    return Math.abs(now - before) > Math.max(noise, MIN_RELATIVE_RATE_CHANGE * before);
   }
 
   private void announce(MemberInfo info) {
@@ -131,7 +131,7 @@
 
   private void send(OutgoingMessage o) {
     sender.send(
-        o.receiver(), new LinkMessage(o.sender(), o.updates(), new LinkBody.Detection(o.probe())));
+        o.receiver(), new LinkMessage(o.sender(), o.updates(), new LinkBody.FailureDetection(o.probe())));
   }
 
   private void publish() {
