--- a/host/src/main/java/dev/cactusstack/host/control/RoutingPlan.java
+++ b/host/src/main/java/dev/cactusstack/host/control/RoutingViewBuilder.java
@@ -6,8 +6,8 @@
 import dev.cactusstack.decisions.routing.RendezvousHash;
 import dev.cactusstack.decisions.routing.TrafficSplit;
 import dev.cactusstack.decisions.state.UpstreamState;
-import dev.cactusstack.host.callers.Entry;
-import dev.cactusstack.host.callers.Hop;
+import dev.cactusstack.host.callers.EntryEndpoint;
+import dev.cactusstack.host.callers.RemoteHost;
 import dev.cactusstack.host.callers.RouteOwner;
 import dev.cactusstack.host.callers.RouteScheduler;
 import dev.cactusstack.host.callers.RoutingView;
@@ -30,30 +30,30 @@
 import org.jspecify.annotations.Nullable;
 
 /** Computes routing snapshots from members, configuration and upstreams. Confined to one thread. */
-final class RoutingPlan {
+final class RoutingViewBuilder {
   private final Member self;
-  private final List<Member> known;
-  private final List<Member> serving;
+  private final List<Member> allMembers;
+  private final List<Member> servingMembers;
   private final Map<HostId, Member> byId = new HashMap<>();
   private final Map<DataCentre, List<HostId>> byDataCentre = new HashMap<>();
   private final ToDoubleFunction<HostId> roundTripMs;
 
-  RoutingPlan(Member self, Iterable<Member> members, ToDoubleFunction<HostId> roundTripMs) {
+  RoutingViewBuilder(Member self, Iterable<Member> members, ToDoubleFunction<HostId> roundTripMs) {
     this.self = self;
     this.roundTripMs = roundTripMs;
-    this.known = new ArrayList<>();
-    this.serving = new ArrayList<>();
+    this.allMembers = new ArrayList<>();
+    this.servingMembers = new ArrayList<>();
     for (Member m : members) {
-      known.add(m);
+      allMembers.add(m);
       if (m.isServing()) {
-        serving.add(m);
+        servingMembers.add(m);
         byId.put(m.id(), m);
         byDataCentre.computeIfAbsent(m.info().dataCentre(), d -> new ArrayList<>()).add(m.id());
       }
     }
   }
 
-  RoutingView view(
+  RoutingView build(
       ConfigurationTable table,
       Map<RouteKey, List<Upstream>> upstreams,
       Map<RouteKey, RouteScheduler> schedulers) {
@@ -99,7 +99,7 @@
     return m.id().equals(self.id())
         ? new RouteOwner.Local(scheduler)
         : new RouteOwner.Remote(
-            new Hop(m.id(), m.info().callers(), roundTripMs.applyAsDouble(m.id())));
+            new RemoteHost(m.id(), m.info().callers(), roundTripMs.applyAsDouble(m.id())));
   }
 
   private TrafficSplit split(List<Target> targets, Map<DataCentre, Double> arrivals) {
@@ -110,7 +110,7 @@
 
   private Map<ServiceName, Map<DataCentre, Double>> arrivals() {
     var arrivals = new TreeMap<ServiceName, Map<DataCentre, Double>>();
-    for (Member m : known) {
+    for (Member m : allMembers) {
       if (m.status() == MemberStatus.DEAD) {
         continue;
       }
@@ -124,9 +124,9 @@
   }
 
   /** Suspected hosts are left out, unless nobody else is left. */
-  private List<Entry> entries() {
-    List<Member> alive = serving.stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
-    List<Member> shown = !alive.isEmpty() ? alive : !serving.isEmpty() ? serving : List.of(self);
-    return shown.stream().map(m -> new Entry(m.info().callers(), m.info().dataCentre())).toList();
+  private List<EntryEndpoint> entries() {
+    List<Member> alive = servingMembers.stream().filter(m -> m.status() == MemberStatus.ALIVE).toList();
+    List<Member> announced = !alive.isEmpty() ? alive : !servingMembers.isEmpty() ? servingMembers : List.of(self);
+    return announced.stream().map(m -> new EntryEndpoint(m.info().callers(), m.info().dataCentre())).toList();
   }
 }
--- a/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/UpstreamsController.java
@@ -38,12 +38,12 @@
  */
 public final class UpstreamsController {
   private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-  private static final long MIN_LIST_INTERVAL_MS = 1_000;
-  private static final long RATES_INTERVAL_MS = 5_000;
-  private static final long EXPIRY_INTERVAL_MS = 1_000;
+  private static final long MIN_HOST_LIST_INTERVAL_MS = 1_000;
+  private static final long RATE_UPDATE_INTERVAL_MS = 5_000;
+  private static final long STATE_EXPIRY_INTERVAL_MS = 1_000;
 
   /** Reads of the host list by all hosts together, per second. */
-  private static final int LIST_READS_PER_SECOND = 100;
+  private static final int MAX_HOST_LIST_READS_PER_SECOND = 100;
 
   private final HostList hostList;
   private final MembershipController members;
@@ -53,15 +53,15 @@
   private final int queueLength;
   private final Map<RouteKey, RouteScheduler> schedulers = new HashMap<>();
   private final Map<Address, Upstream> upstreams = new HashMap<>();
-  private Map<Address, ListedHost> listed = new TreeMap<>();
+  private Map<Address, ListedHost> listedHosts = new TreeMap<>();
   private ConfigurationTable table = ConfigurationTable.EMPTY;
   private long revision;
-  private Set<Serving> serving = Set.of();
+  private Set<MemberState> memberStates = Set.of();
   private boolean ratesChanged;
-  private long nextRatesMs;
-  private long nextExpiryMs;
+  private long nextRateUpdateAtMs;
+  private long nextStateExpiryAtMs;
   private boolean reading;
-  private long nextReadMs;
+  private long nextReadAtMs;
   private volatile RoutingView view;
   private volatile Map<RouteKey, RouteScheduler> publishedSchedulers = Map.of();
 
@@ -88,7 +88,7 @@
     this.ticker = Objects.requireNonNull(ticker, "ticker is null");
     this.policy = Objects.requireNonNull(policy, "policy is null");
     this.queueLength = queueLength;
-    this.view = plan().view(table, Map.of(), Map.of());
+    this.view = viewBuilder().build(table, Map.of(), Map.of());
   }
 
   /**
@@ -111,49 +111,49 @@
 
   void tick() {
     long now = ticker.millis();
-    if (!reading && now >= nextReadMs) {
+    if (!reading && now >= nextReadAtMs) {
       read(now);
     }
-    if (now >= nextExpiryMs) {
-      nextExpiryMs = now + EXPIRY_INTERVAL_MS;
-      upstreams.values().forEach(u -> u.expireKnowledge(ticker.nanos()));
+    if (now >= nextStateExpiryAtMs) {
+      nextStateExpiryAtMs = now + STATE_EXPIRY_INTERVAL_MS;
+      upstreams.values().forEach(u -> u.expireState(ticker.nanos()));
     }
     rebuildIfDue(now);
     // A pause after failures ends with time, not with an event.
-    schedulers.values().forEach(RouteScheduler::drain);
+    schedulers.values().forEach(RouteScheduler::grantQueued);
   }
 
   private void read(long now) {
     reading = true;
-    long fairShare = 1_000L * members.members().size() / LIST_READS_PER_SECOND;
-    nextReadMs = now + Math.max(MIN_LIST_INTERVAL_MS, fairShare);
+    long fairIntervalMs = 1_000L * members.members().size() / MAX_HOST_LIST_READS_PER_SECOND;
+    nextReadAtMs = now + Math.max(MIN_HOST_LIST_INTERVAL_MS, fairIntervalMs);
     hostList
-        .hostsAfter(revision)
+        .readHostChanges(revision)
         .whenComplete((changes, t) -> loop.execute(() -> finishRead(changes)));
   }
 
   private void finishRead(@Nullable HostChanges changes) {
     reading = false;
-    if (changes == null || changes.revision() == revision && !listed.isEmpty()) {
+    if (changes == null || changes.revision() == revision && !listedHosts.isEmpty()) {
       return;
     }
     revision = changes.revision();
-    Map<Address, ListedHost> before = listed;
-    listed = changes.applyTo(before);
-    members.list(
-        listed.values().stream()
+    Map<Address, ListedHost> before = listedHosts;
+    listedHosts = changes.applyTo(before);
+    members.updateListedHosts(
+        listedHosts.values().stream()
             .filter(h -> h.role() == ListedHost.Role.ENTRY)
             .map(ListedHost::address)
             .toList());
-    noteLeaving(before);
+    updateLeavingStates(before);
     rebuild();
   }
 
-  private void noteLeaving(Map<Address, ListedHost> before) {
+  private void updateLeavingStates(Map<Address, ListedHost> before) {
     upstreams.forEach(
         (address, u) -> {
           ListedHost old = before.get(address);
-          ListedHost now = listed.get(address);
+          ListedHost now = listedHosts.get(address);
           boolean wasLeaving = old != null && old.leaving();
           if (now != null && now.leaving() && !wasLeaving) {
             u.observe(new Observation.ReportedLeaving(), ticker.millis());
@@ -164,7 +164,7 @@
         });
   }
 
-  void changeTable(ConfigurationTable next) {
+  void onTableChange(ConfigurationTable next) {
     table = next;
     rebuild();
   }
@@ -173,11 +173,11 @@
    * Follows the group. What decides on owners and entries is taken over at once; arrival rates,
    * which change all the time, are taken over a few times a minute.
    */
-  void changeMembers(SortedMap<HostId, Member> now) {
-    Set<Serving> next = new HashSet<>();
-    now.values().forEach(m -> next.add(Serving.of(m)));
-    if (!next.equals(serving)) {
-      serving = next;
+  void onMembersChange(SortedMap<HostId, Member> now) {
+    Set<MemberState> next = new HashSet<>();
+    now.values().forEach(m -> next.add(MemberState.of(m)));
+    if (!next.equals(memberStates)) {
+      memberStates = next;
       rebuild();
     } else {
       ratesChanged = true;
@@ -185,21 +185,21 @@
   }
 
   private void rebuildIfDue(long now) {
-    if (ratesChanged && now >= nextRatesMs) {
+    if (ratesChanged && now >= nextRateUpdateAtMs) {
       rebuild();
     }
   }
 
   /** What of a member decides on owners and entries. */
-  private record Serving(HostId id, long incarnation, boolean alive, boolean serves) {
-    static Serving of(Member m) {
-      return new Serving(m.id(), m.incarnation(), m.status() == MemberStatus.ALIVE, m.isServing());
+  private record MemberState(HostId id, long incarnation, boolean alive, boolean serving) {
+    static MemberState of(Member m) {
+      return new MemberState(m.id(), m.incarnation(), m.status() == MemberStatus.ALIVE, m.isServing());
     }
   }
 
   private void rebuild() {
     ratesChanged = false;
-    nextRatesMs = ticker.millis() + RATES_INTERVAL_MS;
+    nextRateUpdateAtMs = ticker.millis() + RATE_UPDATE_INTERVAL_MS;
     Map<RouteKey, List<Upstream>> byRoute = upstreamsByRoute();
     for (Route r : table.routes().values()) {
       schedulers
@@ -208,20 +208,20 @@
               byRoute.getOrDefault(r.key(), List.of()), r.limit(), r.upstreamLimit(), queueLength);
     }
     RoutingView before = view;
-    RoutingView after = plan().view(table, byRoute, schedulers);
+    RoutingView after = viewBuilder().build(table, byRoute, schedulers);
     view = after;
     publishedSchedulers = Map.copyOf(schedulers);
-    handOver(before, after);
+    handOverRoutes(before, after);
   }
 
   /** Sends waiting requests away from routes that another host owns now. */
-  private void handOver(RoutingView before, RoutingView after) {
+  private void handOverRoutes(RoutingView before, RoutingView after) {
     schedulers.forEach(
         (key, s) -> {
-          boolean was = RoutingPlan.isLocal(before.owner(key));
-          boolean is = RoutingPlan.isLocal(after.owner(key));
+          boolean was = RoutingViewBuilder.isLocal(before.owner(key));
+          boolean is = RoutingViewBuilder.isLocal(after.owner(key));
           if (was && !is) {
-            s.refuseAll(movedAway(key));
+            s.rejectAll(ownerChanged(key));
           } else if (!was && is) {
             // Another host, or nobody, has used the upstreams since this one last did.
             s.upstreams().forEach(u -> u.observe(new Observation.StateExpired(), ticker.millis()));
@@ -229,11 +229,11 @@
         });
   }
 
-  private RoutingPlan plan() {
-    return new RoutingPlan(members.self(), members.members().values(), members::roundTripMs);
+  private RoutingViewBuilder viewBuilder() {
+    return new RoutingViewBuilder(members.self(), members.members().values(), members::roundTripMs);
   }
 
-  private static Problem movedAway(RouteKey key) {
+  private static Problem ownerChanged(RouteKey key) {
     return new Problem(
         ProblemKind.MISDIRECTED,
         "another host owns " + key + " now",
@@ -241,9 +241,9 @@
   }
 
   private Map<RouteKey, List<Upstream>> upstreamsByRoute() {
-    upstreams.keySet().retainAll(listed.keySet());
+    upstreams.keySet().retainAll(listedHosts.keySet());
     var byRoute = new TreeMap<RouteKey, List<Upstream>>();
-    for (ListedHost h : listed.values()) {
+    for (ListedHost h : listedHosts.values()) {
       h.service()
           .filter(s -> h.role() == ListedHost.Role.UPSTREAM)
           .ifPresent(
@@ -251,12 +251,12 @@
                   byRoute
                       .computeIfAbsent(
                           new RouteKey(s, h.dataCentre()), k -> new java.util.ArrayList<>())
-                      .add(upstream(h)));
+                      .add(upstreamFor(h)));
     }
     return byRoute;
   }
 
-  private Upstream upstream(ListedHost h) {
+  private Upstream upstreamFor(ListedHost h) {
     return upstreams.computeIfAbsent(
         h.address(),
         a -> {
--- a/host/src/main/java/dev/cactusstack/host/observe/LogSetup.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/LogSetup.java
@@ -10,7 +10,7 @@
 
 /** Sends every log record to standard error as one line of pairs. Stateless. */
 public final class LogSetup {
-  private static final String[] QUIET = {"org.xnio", "io.undertow", "org.jboss", "io.netty"};
+  private static final String[] QUIETED_LOGGERS = {"org.xnio", "io.undertow", "org.jboss", "io.netty"};
 
   private LogSetup() {}
 
@@ -21,16 +21,16 @@
       root.removeHandler(h);
     }
     var console = new ConsoleHandler();
-    console.setFormatter(new PairsFormatter());
+    console.setFormatter(new KeyValueFormatter());
     console.setLevel(Level.ALL);
     root.addHandler(console);
-    for (String name : QUIET) {
+    for (String name : QUIETED_LOGGERS) {
       Logger.getLogger(name).setLevel(Level.SEVERE);
     }
   }
 
   /** Formats a record as time, level and the event's own pairs. Stateless. */
-  private static final class PairsFormatter extends Formatter {
+  private static final class KeyValueFormatter extends Formatter {
     @Override
     public String format(LogRecord r) {
       String message = formatMessage(r);
--- a/host/src/main/java/dev/cactusstack/host/observe/Metrics.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/Metrics.java
@@ -19,7 +19,7 @@
    * @param service the service
    * @return its metrics, created at the first call
    */
-  public ServiceMetrics of(ServiceName service) {
+  public ServiceMetrics forService(ServiceName service) {
     return services.computeIfAbsent(service, s -> new ServiceMetrics(registry, s));
   }
 
--- a/host/src/main/java/dev/cactusstack/host/observe/ServiceMetrics.java
+++ b/host/src/main/java/dev/cactusstack/host/observe/ServiceMetrics.java
@@ -13,7 +13,7 @@
 
 /** The histograms and counters of one service. Thread-safe. */
 public final class ServiceMetrics {
-  private static final Duration[] BOUNDS = {
+  private static final Duration[] HISTOGRAM_BOUNDS = {
     Duration.ofNanos(100_000),
     Duration.ofNanos(200_000),
     Duration.ofNanos(500_000),
@@ -38,7 +38,7 @@
   private final Timer total;
   private final Timer added;
   private final Counter attempts;
-  private final Map<ProblemKind, Counter> refusals = new ConcurrentHashMap<>();
+  private final Map<ProblemKind, Counter> problemCounters = new ConcurrentHashMap<>();
 
   ServiceMetrics(MeterRegistry registry, ServiceName service) {
     this.registry = Objects.requireNonNull(registry, "registry is null");
@@ -57,7 +57,7 @@
     return Timer.builder(name)
         .description(description)
         .tag("service", service)
-        .serviceLevelObjectives(BOUNDS)
+        .serviceLevelObjectives(HISTOGRAM_BOUNDS)
         .register(registry);
   }
 
@@ -67,13 +67,13 @@
    * @param totalNanos from its arrival to its whole answer
    * @param addedNanos the part spent in this host
    */
-  public void answered(long totalNanos, long addedNanos) {
+  public void recordRequest(long totalNanos, long addedNanos) {
     total.record(totalNanos, TimeUnit.NANOSECONDS);
     added.record(Math.max(0, addedNanos), TimeUnit.NANOSECONDS);
   }
 
   /** Records an attempt. */
-  public void attempted() {
+  public void recordAttempt() {
     attempts.increment();
   }
 
@@ -82,8 +82,8 @@
    *
    * @param kind why
    */
-  public void refused(ProblemKind kind) {
-    refusals
+  public void recordProblem(ProblemKind kind) {
+    problemCounters
         .computeIfAbsent(
             kind,
             k ->
--- a/host/src/main/java/dev/cactusstack/host/operators/EditRequests.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/EditParser.java
@@ -21,25 +21,25 @@
 import java.util.UUID;
 
 /** Parses operators' changes. Stateless and thread-safe. */
-final class EditRequests {
+final class EditParser {
   private static final int MAX_OPERATION_LENGTH = 64;
 
-  private EditRequests() {}
+  private EditParser() {}
 
-  static Result<EditPlan> edits(byte[] body) {
-    return json(body)
+  static Result<EditPlan> parseEdits(byte[] body) {
+    return parseJson(body)
         .flatMap(
             n ->
-                operation(n)
+                parseOperation(n)
                     .flatMap(
                         op ->
-                            list(n)
+                            parseEditList(n)
                                 .flatMap(
-                                    edits -> version(n).map(v -> new EditPlan(op, edits, v)))));
+                                    edits -> parseVersion(n).map(v -> new EditPlan(op, edits, v)))));
   }
 
-  static Result<DataCentrePlan> dataCentre(String name, byte[] body) {
-    return json(body)
+  static Result<DataCentrePlan> parseDataCentrePlan(String name, byte[] body) {
+    return parseJson(body)
         .flatMap(
             n -> {
               if (!n.path("out").isBoolean()) {
@@ -48,7 +48,7 @@
                         "'out' is missing", "send {\"out\": true} or {\"out\": false}"));
               }
               boolean force = n.path("force").asBoolean();
-              return operation(n)
+              return parseOperation(n)
                   .flatMap(
                       op ->
                           DataCentre.parse(name)
@@ -58,14 +58,14 @@
             });
   }
 
-  private static Result<JsonNode> json(byte[] body) {
+  private static Result<JsonNode> parseJson(byte[] body) {
     Optional<JsonNode> n = Json.parse(body).filter(JsonNode::isObject);
     return n.map(Result::success)
         .orElseGet(
             () -> Result.failure(Problem.invalid("the body is not a JSON object", "send one")));
   }
 
-  private static Result<String> operation(JsonNode n) {
+  private static Result<String> parseOperation(JsonNode n) {
     String op = n.path("operation").asText("");
     if (op.isEmpty()) {
       return Result.success(UUID.randomUUID().toString());
@@ -77,7 +77,7 @@
                 "the operation id is not acceptable", "use up to 64 printable characters"));
   }
 
-  private static Result<OptionalLong> version(JsonNode n) {
+  private static Result<OptionalLong> parseVersion(JsonNode n) {
     JsonNode v = n.path("if_version");
     if (v.isMissingNode() || v.isNull()) {
       return Result.success(OptionalLong.empty());
@@ -88,28 +88,28 @@
             Problem.invalid("if_version=" + v + " is not accepted", "give a whole number"));
   }
 
-  private static Result<List<Edit>> list(JsonNode n) {
+  private static Result<List<Edit>> parseEditList(JsonNode n) {
     Result<List<Edit>> edits = Result.success(new ArrayList<>());
     for (JsonNode e : n.path("edits")) {
-      edits = edits.flatMap(done -> edit(e).map(x -> plus(done, x)));
+      edits = edits.flatMap(done -> parseEdit(e).map(x -> append(done, x)));
     }
     return edits;
   }
 
-  private static List<Edit> plus(List<Edit> list, Edit e) {
+  private static List<Edit> append(List<Edit> list, Edit e) {
     var longer = new ArrayList<>(list);
     longer.add(e);
     return longer;
   }
 
-  private static Result<Edit> edit(JsonNode n) {
+  private static Result<Edit> parseEdit(JsonNode n) {
     return ServiceName.parse(n.path("service").asText())
         .flatMap(s -> DataCentre.parse(n.path("data_centre").asText()).map(d -> new RouteKey(s, d)))
         .flatMap(
-            k -> values(n.path("values")).flatMap(v -> version(n).map(i -> new Edit(k, v, i))));
+            k -> parseValues(n.path("values")).flatMap(v -> parseVersion(n).map(i -> new Edit(k, v, i))));
   }
 
-  private static Result<TreeMap<RouteColumn, Integer>> values(JsonNode n) {
+  private static Result<TreeMap<RouteColumn, Integer>> parseValues(JsonNode n) {
     Result<TreeMap<RouteColumn, Integer>> values = Result.success(new TreeMap<>());
     Iterator<Map.Entry<String, JsonNode>> fields = n.fields();
     while (fields.hasNext()) {
--- a/host/src/main/java/dev/cactusstack/host/operators/JsonReplies.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/JsonResponses.java
@@ -13,45 +13,45 @@
 import java.nio.ByteBuffer;
 
 /** Writes JSON answers for operators. Stateless. */
-final class JsonReplies {
+final class JsonResponses {
   private static final int OK = 200;
   private static final int CONFLICT = 409;
 
-  private JsonReplies() {}
+  private JsonResponses() {}
 
   static void send(HttpServerExchange x, int status, JsonNode body) {
     x.setStatusCode(status);
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     x.getResponseHeaders().put(Headers.CACHE_CONTROL, "no-store");
-    x.getResponseSender().send(ByteBuffer.wrap(Json.bytes(body)));
+    x.getResponseSender().send(ByteBuffer.wrap(Json.toBytes(body)));
   }
 
   static void problem(HttpServerExchange x, Problem p) {
-    send(x, p.kind().status(), fields(p).put("outcome", "not-accepted"));
+    send(x, p.kind().status(), problemFields(p).put("outcome", "not-accepted"));
   }
 
   static void outcome(HttpServerExchange x, EditOutcome o) {
     if (o instanceof EditOutcome.Accepted a) {
-      send(x, OK, Json.object().put("outcome", "accepted").put("version", a.version()));
+      send(x, OK, Json.newObject().put("outcome", "accepted").put("version", a.version()));
     } else if (o instanceof EditOutcome.Conflict c) {
-      send(x, CONFLICT, conflict(c));
+      send(x, CONFLICT, conflictBody(c));
     } else if (o instanceof EditOutcome.NotAccepted n) {
       problem(x, n.problem());
     } else if (o instanceof EditOutcome.Unknown u) {
-      ObjectNode n = fields(u.problem()).put("outcome", "unknown").put("operation", u.operation());
+      ObjectNode n = problemFields(u.problem()).put("outcome", "unknown").put("operation", u.operation());
       send(x, u.problem().kind().status(), n);
     }
   }
 
-  private static ObjectNode fields(Problem p) {
-    return Json.object()
+  private static ObjectNode problemFields(Problem p) {
+    return Json.newObject()
         .put("kind", p.kind().label())
         .put("message", p.message())
         .put("remedy", p.remedy());
   }
 
-  private static ObjectNode conflict(EditOutcome.Conflict c) {
-    ObjectNode n = Json.object().put("outcome", "conflict");
+  private static ObjectNode conflictBody(EditOutcome.Conflict c) {
+    ObjectNode n = Json.newObject().put("outcome", "conflict");
     ArrayNode list = n.putArray("conflicts");
     c.rowConflicts()
         .forEach(
@@ -65,7 +65,7 @@
 
   static ObjectNode row(Route r) {
     ObjectNode n =
-        Json.object()
+        Json.newObject()
             .put("service", r.key().service().value())
             .put("data_centre", r.key().dataCentre().value());
     for (RouteColumn c : RouteColumn.values()) {
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsServer.java
@@ -7,7 +7,7 @@
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
 import dev.cactusstack.model.Result;
-import dev.cactusstack.settings.OperatorsSettings;
+import dev.cactusstack.settings.OperatorListenerSettings;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.server.HttpHandler;
@@ -26,7 +26,7 @@
 public final class OperatorsServer implements AutoCloseable {
   private static final long MAX_BODY_BYTES = 8L << 20;
   private static final String DATA_CENTRES = "/v1/data-centres/";
-  private static final String PAGE_POLICY =
+  private static final String CONTENT_SECURITY_POLICY =
       "default-src 'self'; frame-ancestors 'none'; base-uri 'none'; form-action 'none'";
 
   private final OperatorsView view;
@@ -44,7 +44,7 @@
    * @param metrics what {@code /metrics} shows
    */
   public OperatorsServer(
-      OperatorsSettings settings,
+      OperatorListenerSettings settings,
       Optional<SSLContext> tls,
       OperatorsView view,
       EditService edits,
@@ -61,7 +61,7 @@
             .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 60_000)
-            .setHandler(new PageFilter(PAGE_POLICY, api));
+            .setHandler(new PageFilter(CONTENT_SECURITY_POLICY, api));
     int port = settings.address().port();
     String ip = settings.address().ip();
     this.server =
@@ -83,17 +83,17 @@
   private void route(HttpServerExchange x) {
     String path = x.getRequestPath();
     if (x.getRequestMethod().equals(Methods.POST)) {
-      change(x, path);
+      handleChange(x, path);
       return;
     }
     if (!x.getRequestMethod().equals(Methods.GET)) {
-      JsonReplies.problem(x, Problem.invalid("the method is not served here", "use GET or POST"));
+      JsonResponses.problem(x, Problem.invalid("the method is not served here", "use GET or POST"));
       return;
     }
     switch (path) {
-      case "/v1/table" -> show(x, view::table);
-      case "/v1/in-force" -> show(x, view::inForce);
-      case "/v1/status" -> show(x, view::status);
+      case "/v1/table" -> sendJson(x, view::table);
+      case "/v1/in-force" -> sendJson(x, view::inForce);
+      case "/v1/status" -> sendJson(x, view::status);
       case "/metrics" -> {
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain; version=0.0.4");
         x.getResponseSender().send(metrics.scrape());
@@ -102,12 +102,12 @@
     }
   }
 
-  private static void show(HttpServerExchange x, Supplier<ObjectNode> content) {
-    JsonReplies.send(x, 200, content.get());
+  private static void sendJson(HttpServerExchange x, Supplier<ObjectNode> content) {
+    JsonResponses.send(x, 200, content.get());
   }
 
   private static void notFound(HttpServerExchange x) {
-    JsonReplies.problem(
+    JsonResponses.problem(
         x,
         new Problem(
             ProblemKind.NOT_FOUND,
@@ -115,12 +115,12 @@
             "see docs/operations/operators-port.md for the paths"));
   }
 
-  private void change(HttpServerExchange x, String path) {
+  private void handleChange(HttpServerExchange x, String path) {
     if (path.equals("/v1/edits")) {
-      commit(x, body -> EditRequests.edits(body).map(p -> p));
+      commit(x, body -> EditParser.parseEdits(body).map(p -> p));
     } else if (path.startsWith(DATA_CENTRES)) {
       String name = path.substring(DATA_CENTRES.length());
-      commit(x, body -> EditRequests.dataCentre(name, body).map(p -> p));
+      commit(x, body -> EditParser.parseDataCentrePlan(name, body).map(p -> p));
     } else {
       notFound(x);
     }
@@ -134,15 +134,15 @@
                     .apply(body)
                     .fold(
                         p -> {
-                          JsonReplies.problem(ex, p);
+                          JsonResponses.problem(ex, p);
                           return true;
                         },
                         plan -> {
-                          ex.dispatch(SameThreadExecutor.INSTANCE, () -> run(ex, plan));
+                          ex.dispatch(SameThreadExecutor.INSTANCE, () -> commitAndRespond(ex, plan));
                           return true;
                         }),
             (ex, e) ->
-                JsonReplies.problem(
+                JsonResponses.problem(
                     ex,
                     new Problem(
                         ProblemKind.BODY_TOO_LARGE,
@@ -150,8 +150,8 @@
                         "send less")));
   }
 
-  private void run(HttpServerExchange x, ChangePlan plan) {
-    edits.commit(plan).thenAccept(o -> x.getIoThread().execute(() -> JsonReplies.outcome(x, o)));
+  private void commitAndRespond(HttpServerExchange x, ChangePlan plan) {
+    edits.commit(plan).thenAccept(o -> x.getIoThread().execute(() -> JsonResponses.outcome(x, o)));
   }
 
   /** Serves the page's files, which hold no data, to everyone. Stateless. */
--- a/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/OperatorsView.java
@@ -52,9 +52,9 @@
 
   ObjectNode table() {
     ConfigurationTable t = configuration.inForce();
-    ObjectNode n = Json.object().put("version", t.version());
+    ObjectNode n = Json.newObject().put("version", t.version());
     ArrayNode rows = n.putArray("rows");
-    t.routes().values().forEach(r -> rows.add(JsonReplies.row(r)));
+    t.routes().values().forEach(r -> rows.add(JsonResponses.row(r)));
     ArrayNode dataCentres = n.putArray("data_centres");
     t.dataCentres()
         .values()
@@ -69,31 +69,31 @@
   }
 
   ObjectNode inForce() {
-    Collection<Member> live = live();
-    long newest =
+    Collection<Member> live = liveMembers();
+    long newestVersion =
         live.stream()
             .mapToLong(m -> m.info().configVersion())
             .reduce(configuration.inForce().version(), Math::max);
-    long have = live.stream().filter(m -> m.info().configVersion() >= newest).count();
+    long upToDate = live.stream().filter(m -> m.info().configVersion() >= newestVersion).count();
     ObjectNode n =
-        Json.object()
-            .put("version", newest)
-            .put("in_force", have)
+        Json.newObject()
+            .put("version", newestVersion)
+            .put("in_force", upToDate)
             .put("hosts_total", live.size())
             .put("table_service_reachable", configuration.isStoreReachable());
     ArrayNode hosts = n.putArray("hosts");
-    live.forEach(m -> hosts.add(host(m)));
+    live.forEach(m -> hosts.add(hostFields(m)));
     return n;
   }
 
-  private Collection<Member> live() {
+  private Collection<Member> liveMembers() {
     return members.members().values().stream()
         .filter(m -> m.status() != MemberStatus.DEAD)
         .toList();
   }
 
-  private static ObjectNode host(Member m) {
-    return Json.object()
+  private static ObjectNode hostFields(Member m) {
+    return Json.newObject()
         .put("id", m.id().value())
         .put("data_centre", m.info().dataCentre().value())
         .put("status", m.info().leaving() ? "leaving" : m.status().label())
@@ -110,7 +110,7 @@
   }
 
   private ArrayNode ownedUpstreams() {
-    ArrayNode list = Json.object().putArray("upstreams");
+    ArrayNode list = Json.newObject().putArray("upstreams");
     RoutingView view = upstreams.view();
     for (Route r : configuration.inForce().routes().values()) {
       if (view.owner(r.key()).orElse(null) instanceof RouteOwner.Local l) {
--- a/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
+++ b/host/src/main/java/dev/cactusstack/host/operators/TokenFilter.java
@@ -2,7 +2,7 @@
 
 import dev.cactusstack.model.Problem;
 import dev.cactusstack.model.ProblemKind;
-import dev.cactusstack.settings.OperatorsSettings;
+import dev.cactusstack.settings.OperatorListenerSettings;
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
@@ -30,20 +30,20 @@
   public void handleRequest(HttpServerExchange x) throws Exception {
     if (!isAuthorised(x)) {
       x.getResponseHeaders().put(Headers.WWW_AUTHENTICATE, "Bearer");
-      JsonReplies.problem(
+      JsonResponses.problem(
           x,
           new Problem(
               ProblemKind.NOT_AUTHORISED,
               "the request carries no valid operators' token",
               "set the variable "
-                  + OperatorsSettings.TOKEN_VARIABLE
+                  + OperatorListenerSettings.TOKEN_VARIABLE
                   + ", or enter the token on the page"));
       return;
     }
     boolean changes = x.getRequestMethod().equals(Methods.POST);
     String type = x.getRequestHeaders().getFirst(Headers.CONTENT_TYPE);
     if (changes && (type == null || !type.startsWith("application/json"))) {
-      JsonReplies.problem(
+      JsonResponses.problem(
           x, Problem.invalid("a change is not JSON", "send Content-Type: application/json"));
       return;
     }
--- a/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
+++ b/host/src/test/java/dev/cactusstack/host/callers/RouteSchedulerTest.java
@@ -24,7 +24,7 @@
   private static final RouteKey KEY = RouteKey.of("search", "almaty-1");
 
   /** A request without a thread. */
-  private static final class Request implements Waiter {
+  private static final class Request implements LeaseRequest {
     private Lease lease;
     private Problem problem;
 
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public synchronized boolean isWaiting() {
+    public synchronized boolean isPending() {
       return lease == null && problem == null;
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public synchronized void refuse(Problem p) {
+    public synchronized void reject(Problem p) {
       problem = p;
     }
 
@@ -119,7 +119,7 @@
       r.lease().release();
     }
     assertThat(s.inFlight()).isZero();
-    assertThat(s.waiting()).isZero();
+    assertThat(s.queueSize()).isZero();
   }
 
   @Test
@@ -148,7 +148,7 @@
   @Test
   void shouldReleaseOnceWhenReleasedTwice() {
     RouteScheduler s = scheduler(warm(1), 4, 4, 0);
-    Lease l = s.tryNow(Set.of());
+    Lease l = s.tryAcquire(Set.of());
     l.release();
     l.release();
     assertThat(s.inFlight()).isZero();
@@ -164,7 +164,7 @@
       pool.execute(
           () -> {
             for (int i = 0; i < 5_000; i++) {
-              Lease l = s.tryNow(Set.of());
+              Lease l = s.tryAcquire(Set.of());
               if (s.inFlight() > 5 || ups.stream().anyMatch(u -> u.inFlight() > 2)) {
                 over.incrementAndGet();
               }
--- a/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
+++ b/host/src/test/java/dev/cactusstack/host/control/EditServiceTest.java
@@ -6,7 +6,7 @@
 import dev.cactusstack.decisions.membership.MemberInfo;
 import dev.cactusstack.decisions.membership.MemberStatus;
 import dev.cactusstack.decisions.recovery.EditPlan;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.DataCentre;
@@ -47,10 +47,10 @@
     }
 
     @Override
-    public CompletableFuture<ConfigurationTable> changesAfter(long revision) {
+    public CompletableFuture<ConfigurationTable> readChanges(long revision) {
       return readsLeft-- > 0
           ? CompletableFuture.completedFuture(table.changesAfter(revision))
-          : CompletableFuture.failedFuture(new HttpFailure(false, "down"));
+          : CompletableFuture.failedFuture(new HttpException(false, "down"));
     }
 
     @Override
@@ -62,7 +62,7 @@
       }
       table = tableOf(row.withVersion(table.version() + 1));
       return loseCommits
-          ? CompletableFuture.failedFuture(new HttpFailure(true, "the answer was lost"))
+          ? CompletableFuture.failedFuture(new HttpException(true, "the answer was lost"))
           : CompletableFuture.completedFuture(new CommitOutcome.Committed(table.version()));
     }
   }
--- a/http/src/main/java/dev/cactusstack/http/HttpCaller.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpClient.java
@@ -38,9 +38,9 @@
  * Sends control requests, one connection each.
  *
  * <p>Invariant: each returned future completes within the call's timeout, with the whole answer or
- * with an {@link HttpFailure}. Thread-safe.
+ * with an {@link HttpException}. Thread-safe.
  */
-public final class HttpCaller {
+public final class HttpClient {
   private static final int MAX_REPLY_BYTES = 16 * 1024 * 1024;
   private static final int BUFFER_BYTES = 16 * 1024;
   private static final OptionMap OPTIONS = OptionMap.create(UndertowOptions.ENABLE_HTTP2, false);
@@ -55,7 +55,7 @@
    * @param worker supplies the threads that perform input and output
    * @param tls the trust to use for {@code https} targets, if any are called
    */
-  public HttpCaller(XnioWorker worker, Optional<SSLContext> tls) {
+  public HttpClient(XnioWorker worker, Optional<SSLContext> tls) {
     this.worker = Objects.requireNonNull(worker, "worker is null");
     this.pool = new DefaultByteBufferPool(true, BUFFER_BYTES, 32, 2);
     this.ssl = tls.map(c -> new UndertowXnioSsl(worker.getXnio(), OptionMap.EMPTY, c)).orElse(null);
@@ -65,9 +65,9 @@
    * Sends a request.
    *
    * @param call the request
-   * @return the answer, or an {@link HttpFailure}
+   * @return the answer, or an {@link HttpException}
    */
-  public CompletableFuture<HttpReply> call(HttpCall call) {
+  public CompletableFuture<HttpResponse> send(HttpRequest call) {
     Objects.requireNonNull(call, "call is null");
     XnioIoThread thread = worker.getIoThread();
     var pending = new Pending(call);
@@ -84,14 +84,14 @@
 
   /** The progress of one call. Confined to one I/O thread, except for {@code result}. */
   private static final class Pending implements ClientCallback<ClientConnection> {
-    private final HttpCall call;
-    private final CompletableFuture<HttpReply> result = new CompletableFuture<>();
+    private final HttpRequest call;
+    private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private XnioExecutor.@Nullable Key timer;
     private @Nullable ClientConnection connection;
     private volatile boolean sent;
 
-    Pending(HttpCall call) {
+    Pending(HttpRequest call) {
       this.call = call;
     }
 
@@ -110,7 +110,7 @@
     public void failed(IOException e) {
       finish();
       result.completeExceptionally(
-          new HttpFailure(
+          new HttpException(
               sent,
               call.method()
                   + " "
@@ -222,7 +222,7 @@
             .getResponseHeaders()
             .forEach(h -> headers.put(lowerCase(h.getHeaderName()), h.getFirst()));
         result.complete(
-            new HttpReply(x.getResponse().getResponseCode(), headers, body.toByteArray()));
+            new HttpResponse(x.getResponse().getResponseCode(), headers, body.toByteArray()));
       }
 
       private static String lowerCase(HttpString name) {
--- a/http/src/main/java/dev/cactusstack/http/HttpFailure.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpException.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /** No whole answer was received. Says whether the request can have been processed. */
-public final class HttpFailure extends RuntimeException {
+public final class HttpException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final boolean sent;
@@ -14,7 +14,7 @@
    * @param sent whether any part of the request may have reached the server
    * @param message what went wrong and what to do
    */
-  public HttpFailure(boolean sent, String message) {
+  public HttpException(boolean sent, String message) {
     super(Objects.requireNonNull(message, "message is null"));
     this.sent = sent;
   }
@@ -24,7 +24,7 @@
    *
    * @return false only when no part of the request was sent
    */
-  public boolean mayBeProcessed() {
+  public boolean mayHaveBeenProcessed() {
     return sent;
   }
 
@@ -34,11 +34,11 @@
    * @param t what a completion stage reported
    * @return the failure itself, or one that assumes the request was sent
    */
-  public static HttpFailure of(Throwable t) {
+  public static HttpException from(Throwable t) {
     Throwable c = t;
-    while (c.getCause() != null && !(c instanceof HttpFailure)) {
+    while (c.getCause() != null && !(c instanceof HttpException)) {
       c = c.getCause();
     }
-    return c instanceof HttpFailure f ? f : new HttpFailure(true, String.valueOf(c));
+    return c instanceof HttpException f ? f : new HttpException(true, String.valueOf(c));
   }
 }
--- a/http/src/main/java/dev/cactusstack/http/HttpCall.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpRequest.java
@@ -15,11 +15,11 @@
  * @param body the content, empty for none
  * @param timeout how long to wait for the whole answer
  */
-public record HttpCall(
+public record HttpRequest(
     String method, URI uri, Map<String, String> headers, byte[] body, Duration timeout) {
 
   /** Checks the components and copies the headers. */
-  public HttpCall {
+  public HttpRequest {
     Objects.requireNonNull(method, "method is null");
     Objects.requireNonNull(uri, "uri is null");
     Objects.requireNonNull(body, "body is null");
@@ -34,8 +34,8 @@
    * @param timeout how long to wait for the whole answer
    * @return the request
    */
-  public static HttpCall get(URI uri, Duration timeout) {
-    return new HttpCall("GET", uri, Map.of(), new byte[0], timeout);
+  public static HttpRequest get(URI uri, Duration timeout) {
+    return new HttpRequest("GET", uri, Map.of(), new byte[0], timeout);
   }
 
   /**
@@ -47,8 +47,8 @@
    * @param timeout how long to wait for the whole answer
    * @return the request
    */
-  public static HttpCall json(String method, URI uri, byte[] json, Duration timeout) {
-    return new HttpCall(method, uri, Map.of("Content-Type", "application/json"), json, timeout);
+  public static HttpRequest json(String method, URI uri, byte[] json, Duration timeout) {
+    return new HttpRequest(method, uri, Map.of("Content-Type", "application/json"), json, timeout);
   }
 
   /**
@@ -58,9 +58,9 @@
    * @param value the field's value
    * @return the changed request
    */
-  public HttpCall withHeader(String name, String value) {
+  public HttpRequest withHeader(String name, String value) {
     var h = new TreeMap<>(headers);
     h.put(name, value);
-    return new HttpCall(method, uri, h, body, timeout);
+    return new HttpRequest(method, uri, h, body, timeout);
   }
 }
--- a/http/src/main/java/dev/cactusstack/http/HttpReply.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpResponse.java
@@ -11,10 +11,10 @@
  * @param headers first value of each header field, by lower-case name
  * @param body the content
  */
-public record HttpReply(int status, Map<String, String> headers, byte[] body) {
+public record HttpResponse(int status, Map<String, String> headers, byte[] body) {
 
   /** Checks the components and copies the headers. */
-  public HttpReply {
+  public HttpResponse {
     Objects.requireNonNull(body, "body is null");
     headers = Map.copyOf(headers);
   }
@@ -24,7 +24,7 @@
    *
    * @return the text
    */
-  public String text() {
+  public String bodyAsString() {
     return new String(body, StandardCharsets.UTF_8);
   }
 }
--- a/http/src/main/java/dev/cactusstack/http/Json.java
+++ b/http/src/main/java/dev/cactusstack/http/Json.java
@@ -19,7 +19,7 @@
    *
    * @return the object
    */
-  public static ObjectNode object() {
+  public static ObjectNode newObject() {
     return JsonNodeFactory.instance.objectNode();
   }
 
@@ -29,7 +29,7 @@
    * @param node the tree
    * @return UTF-8 bytes
    */
-  public static byte[] bytes(JsonNode node) {
+  public static byte[] toBytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
--- a/http/src/main/java/dev/cactusstack/http/Workers.java
+++ b/http/src/main/java/dev/cactusstack/http/XnioWorkers.java
@@ -9,8 +9,8 @@
 import org.xnio.XnioWorker;
 
 /** Creates the threads that perform input and output. Stateless and thread-safe. */
-public final class Workers {
-  private Workers() {}
+public final class XnioWorkers {
+  private XnioWorkers() {}
 
   /**
    * Creates daemon I/O threads; tasks that block have one thread.
@@ -19,7 +19,7 @@
    * @param ioThreads how many I/O threads
    * @return the running worker
    */
-  public static XnioWorker daemon(String name, int ioThreads) {
+  public static XnioWorker createDaemonWorker(String name, int ioThreads) {
     Objects.requireNonNull(name, "name is null");
     try {
       return Xnio.getInstance()
--- a/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
+++ b/link/src/main/java/dev/cactusstack/link/ChangeCursor.java
@@ -22,7 +22,7 @@
 public record ChangeCursor(long version, String key) implements Comparable<ChangeCursor> {
   private static final Comparator<ChangeCursor> ORDER =
       Comparator.comparingLong(ChangeCursor::version).thenComparing(ChangeCursor::key);
-  private static final String AFTER_ALL_KEYS = "~";
+  private static final String MAX_KEY = "~";
 
   /** Checks the key. */
   public ChangeCursor {
@@ -36,7 +36,7 @@
    * @return the position
    */
   public static ChangeCursor afterVersion(long version) {
-    return new ChangeCursor(version, AFTER_ALL_KEYS);
+    return new ChangeCursor(version, MAX_KEY);
   }
 
   /**
@@ -45,8 +45,8 @@
    * @param page the page
    * @return the position to continue from, or the start when the page has no rows
    */
-  public static ChangeCursor lastOf(ConfigurationTable page) {
-    return rows(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
+  public static ChangeCursor ofLastRow(ConfigurationTable page) {
+    return positions(page).stream().reduce((a, b) -> b).orElse(new ChangeCursor(0, ""));
   }
 
   /**
@@ -56,30 +56,30 @@
    * @param count most rows to take
    * @return the page
    */
-  public LinkBody.ChangesPage page(ConfigurationTable table, int count) {
-    List<ChangeCursor> rest = rows(table).stream().filter(c -> c.compareTo(this) > 0).toList();
+  public LinkBody.ChangesPage readPage(ConfigurationTable table, int count) {
+    List<ChangeCursor> rest = positions(table).stream().filter(c -> c.compareTo(this) > 0).toList();
     List<ChangeCursor> taken = rest.subList(0, Math.min(count, rest.size()));
     var routes = new TreeMap<>(table.routes());
-    routes.values().removeIf(r -> !taken.contains(of(r)));
+    routes.values().removeIf(r -> !taken.contains(positionOf(r)));
     var dataCentres = new TreeMap<>(table.dataCentres());
-    dataCentres.values().removeIf(d -> !taken.contains(of(d)));
+    dataCentres.values().removeIf(d -> !taken.contains(positionOf(d)));
     var page = new ConfigurationTable(table.version(), routes, dataCentres);
     return new LinkBody.ChangesPage(page, taken.size() < rest.size());
   }
 
-  private static List<ChangeCursor> rows(ConfigurationTable table) {
+  private static List<ChangeCursor> positions(ConfigurationTable table) {
     List<ChangeCursor> all = new ArrayList<>();
-    table.routes().values().forEach(r -> all.add(of(r)));
-    table.dataCentres().values().forEach(d -> all.add(of(d)));
+    table.routes().values().forEach(r -> all.add(positionOf(r)));
+    table.dataCentres().values().forEach(d -> all.add(positionOf(d)));
     all.sort(ORDER);
     return all;
   }
 
-  private static ChangeCursor of(Route r) {
+  private static ChangeCursor positionOf(Route r) {
     return new ChangeCursor(r.version(), "route/" + r.key());
   }
 
-  private static ChangeCursor of(DataCentreRow d) {
+  private static ChangeCursor positionOf(DataCentreRow d) {
     return new ChangeCursor(d.version(), "data-centre/" + d.dataCentre());
   }
 
--- a/link/src/main/java/dev/cactusstack/link/KeyRing.java
+++ b/link/src/main/java/dev/cactusstack/link/KeyRing.java
@@ -39,7 +39,7 @@
    *
    * @return the number
    */
-  public int signingId() {
+  public int signingKeyId() {
     return keys.get(0).id();
   }
 
--- a/link/src/main/java/dev/cactusstack/link/LinkBody.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkBody.java
@@ -10,24 +10,24 @@
   /**
    * A message of failure detection.
    *
-   * @param probe the message
+   * @param message the message
    */
-  record Detection(ProbeMessage probe) implements LinkBody {
+  record FailureDetection(ProbeMessage message) implements LinkBody {
     /** Checks the message. */
-    public Detection {
-      Objects.requireNonNull(probe, "probe is null");
+    public FailureDetection {
+      Objects.requireNonNull(message, "probe is null");
     }
   }
 
   /**
    * Asks for table rows.
    *
-   * @param after the position to continue from
+   * @param cursor the position to continue from
    */
-  record ChangesQuery(ChangeCursor after) implements LinkBody {
+  record ChangesQuery(ChangeCursor cursor) implements LinkBody {
     /** Checks the position. */
     public ChangesQuery {
-      Objects.requireNonNull(after, "after is null");
+      Objects.requireNonNull(cursor, "after is null");
     }
   }
 
@@ -35,9 +35,9 @@
    * Table rows in the order of their positions.
    *
    * @param rows the rows with the sender's table version
-   * @param more whether rows remain
+   * @param hasMore whether rows remain
    */
-  record ChangesPage(ConfigurationTable rows, boolean more) implements LinkBody {
+  record ChangesPage(ConfigurationTable rows, boolean hasMore) implements LinkBody {
     /** Checks the rows. */
     public ChangesPage {
       Objects.requireNonNull(rows, "rows is null");
--- a/link/src/main/java/dev/cactusstack/link/LinkCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkCodec.java
@@ -41,27 +41,27 @@
   public byte[] encode(LinkMessage m) {
     Envelope.Builder e = Envelope.newBuilder().setSender(MemberCodec.encode(m.sender()));
     m.updates().forEach(u -> e.addUpdates(MemberCodec.encode(u)));
-    putBody(e, m.body());
+    encodeBody(e, m.body());
     byte[] envelope = e.build().toByteArray();
     return Datagram.newBuilder()
-        .setKeyId(keys.signingId())
+        .setKeyId(keys.signingKeyId())
         .setEnvelope(ByteString.copyFrom(envelope))
         .setTag(ByteString.copyFrom(keys.sign(envelope)))
         .build()
         .toByteArray();
   }
 
-  private static void putBody(Envelope.Builder e, LinkBody body) {
-    if (body instanceof LinkBody.Detection d) {
-      putProbe(e, d.probe());
+  private static void encodeBody(Envelope.Builder e, LinkBody body) {
+    if (body instanceof LinkBody.FailureDetection d) {
+      encodeProbe(e, d.message());
     } else if (body instanceof LinkBody.ChangesQuery q) {
-      e.getChangesQueryBuilder().setAfterVersion(q.after().version()).setAfterKey(q.after().key());
+      e.getChangesQueryBuilder().setAfterVersion(q.cursor().version()).setAfterKey(q.cursor().key());
     } else if (body instanceof LinkBody.ChangesPage p) {
       e.setChangesPage(TableCodec.encode(p));
     }
   }
 
-  private static void putProbe(Envelope.Builder e, ProbeMessage probe) {
+  private static void encodeProbe(Envelope.Builder e, ProbeMessage probe) {
     if (probe instanceof ProbeMessage.Ping p) {
       e.setPing(Ping.newBuilder().setNumber(p.number()));
     } else if (probe instanceof ProbeMessage.Ack a) {
@@ -86,15 +86,15 @@
       if (!keys.verify(d.getKeyId(), envelope, d.getTag().toByteArray())) {
         return Optional.empty();
       }
-      return message(Envelope.parseFrom(envelope));
+      return decodeMessage(Envelope.parseFrom(envelope));
     } catch (InvalidProtocolBufferException e) {
       return Optional.empty();
     }
   }
 
-  private static Optional<LinkMessage> message(Envelope e) {
+  private static Optional<LinkMessage> decodeMessage(Envelope e) {
     Optional<Member> sender = MemberCodec.decode(e.getSender());
-    Optional<LinkBody> body = body(e);
+    Optional<LinkBody> body = decodeBody(e);
     if (sender.isEmpty() || body.isEmpty()) {
       return Optional.empty();
     }
@@ -103,15 +103,15 @@
     return Optional.of(new LinkMessage(sender.get(), updates, body.get()));
   }
 
-  private static Optional<LinkBody> body(Envelope e) {
+  private static Optional<LinkBody> decodeBody(Envelope e) {
     return switch (e.getBodyCase()) {
-      case PING -> detection(new ProbeMessage.Ping(e.getPing().getNumber()));
-      case ACK -> detection(new ProbeMessage.Ack(e.getAck().getNumber()));
+      case PING -> failureDetection(new ProbeMessage.Ping(e.getPing().getNumber()));
+      case ACK -> failureDetection(new ProbeMessage.Ack(e.getAck().getNumber()));
       case PING_REQUEST -> {
         Result<Address> target = Address.parse(e.getPingRequest().getTarget());
         yield target.fold(
             p -> Optional.empty(),
-            a -> detection(new ProbeMessage.PingRequest(e.getPingRequest().getNumber(), a)));
+            a -> failureDetection(new ProbeMessage.PingRequest(e.getPingRequest().getNumber(), a)));
       }
       case CHANGES_QUERY ->
           Optional.of(
@@ -123,7 +123,7 @@
     };
   }
 
-  private static Optional<LinkBody> detection(ProbeMessage p) {
-    return Optional.of(new LinkBody.Detection(p));
+  private static Optional<LinkBody> failureDetection(ProbeMessage p) {
+    return Optional.of(new LinkBody.FailureDetection(p));
   }
 }
--- a/link/src/main/java/dev/cactusstack/link/LinkTransport.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkTransport.java
@@ -34,8 +34,8 @@
   private final LinkCodec codec;
   private final MultiThreadIoEventLoopGroup group;
   private final Channel channel;
-  private final LongAdder sentBytes = new LongAdder();
-  private final LongAdder rejected = new LongAdder();
+  private final LongAdder sentByteCount = new LongAdder();
+  private final LongAdder rejectedCount = new LongAdder();
 
   private LinkTransport(
       LinkCodec codec, Address bind, int port, BiConsumer<Address, LinkMessage> receiver) {
@@ -72,20 +72,20 @@
   /**
    * Sends a message without waiting, if its size is allowed.
    *
-   * @param to the receiver
+   * @param recipient the receiver
    * @param m the message
-   * @param allowed decides on the size in bytes, with network headers
+   * @param sizeAllowed decides on the size in bytes, with network headers
    * @return the bytes sent, 0 when not allowed
    */
-  public int send(Address to, LinkMessage m, IntPredicate allowed) {
+  public int send(Address recipient, LinkMessage m, IntPredicate sizeAllowed) {
     byte[] bytes = codec.encode(m);
-    if (!allowed.test(bytes.length + HEADER_BYTES)) {
+    if (!sizeAllowed.test(bytes.length + HEADER_BYTES)) {
       return 0;
     }
-    sentBytes.add(bytes.length + HEADER_BYTES);
+    sentByteCount.add(bytes.length + HEADER_BYTES);
     channel.writeAndFlush(
         new DatagramPacket(
-            Unpooled.wrappedBuffer(bytes), new InetSocketAddress(to.ip(), to.port())));
+            Unpooled.wrappedBuffer(bytes), new InetSocketAddress(recipient.ip(), recipient.port())));
     return bytes.length + HEADER_BYTES;
   }
 
@@ -94,8 +94,8 @@
    *
    * @return the count
    */
-  public long sentBytes() {
-    return sentBytes.sum();
+  public long sentByteCount() {
+    return sentByteCount.sum();
   }
 
   /**
@@ -103,8 +103,8 @@
    *
    * @return the count
    */
-  public long rejected() {
-    return rejected.sum();
+  public long rejectedCount() {
+    return rejectedCount.sum();
   }
 
   @Override
@@ -127,13 +127,13 @@
       Address sender = new Address(from.getAddress().getHostAddress(), from.getPort());
       codec
           .decode(ByteBufUtil.getBytes(packet.content()))
-          .ifPresentOrElse(m -> receiver.accept(sender, m), rejected::increment);
+          .ifPresentOrElse(m -> receiver.accept(sender, m), rejectedCount::increment);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       // An unreachable peer's ICMP answer surfaces here; failure detection handles the silence.
-      rejected.increment();
+      rejectedCount.increment();
     }
   }
 }
--- a/link/src/main/java/dev/cactusstack/link/TableCodec.java
+++ b/link/src/main/java/dev/cactusstack/link/TableCodec.java
@@ -19,7 +19,7 @@
     var b =
         dev.cactusstack.link.generated.ChangesPage.newBuilder()
             .setTableVersion(p.rows().version())
-            .setMore(p.more());
+            .setMore(p.hasMore());
     p.rows()
         .routes()
         .values()
--- a/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
+++ b/link/src/test/java/dev/cactusstack/link/LinkCodecTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 class LinkCodecTest {
-  private static final LinkKey OLD = new LinkKey(1, "old-secret-old-secret".getBytes());
-  private static final LinkKey NEW = new LinkKey(2, "new-secret-new-secret".getBytes());
+  private static final LinkKey OLD_KEY = new LinkKey(1, "old-secret-old-secret".getBytes());
+  private static final LinkKey NEW_KEY = new LinkKey(2, "new-secret-new-secret".getBytes());
   private static final Address ADDRESS = new Address("10.0.0.1", 7946);
-  private static final DataCentre HERE = new DataCentre("almaty-1");
+  private static final DataCentre DATA_CENTRE = new DataCentre("almaty-1");
 
   private static Member member() {
     var rates = List.of(new ServiceRate(new ServiceName("search"), 12.5f));
-    var info = new MemberInfo(3, HERE, ADDRESS, ADDRESS, ADDRESS, 7, true, rates);
+    var info = new MemberInfo(3, DATA_CENTRE, ADDRESS, ADDRESS, ADDRESS, 7, true, rates);
     return new Member(new HostId("a-1"), 99, MemberStatus.SUSPECT, info);
   }
 
@@ -41,33 +41,33 @@
       routes.put(k, new Route(k, i, 40, 4, 1 + i % 5, List.of("op")));
     }
     var dataCentres = new TreeMap<DataCentre, DataCentreRow>();
-    dataCentres.put(HERE, new DataCentreRow(HERE, true, 5, List.of("x")));
+    dataCentres.put(DATA_CENTRE, new DataCentreRow(DATA_CENTRE, true, 5, List.of("x")));
     return new ConfigurationTable(5, routes, dataCentres);
   }
 
   static List<LinkBody> bodies() {
     return List.of(
-        new LinkBody.Detection(new ProbeMessage.Ping(7)),
-        new LinkBody.Detection(new ProbeMessage.Ack(-7)),
-        new LinkBody.Detection(new ProbeMessage.PingRequest(8, ADDRESS)),
+        new LinkBody.FailureDetection(new ProbeMessage.Ping(7)),
+        new LinkBody.FailureDetection(new ProbeMessage.Ack(-7)),
+        new LinkBody.FailureDetection(new ProbeMessage.PingRequest(8, ADDRESS)),
         new LinkBody.ChangesQuery(new ChangeCursor(4, "route/a/b")),
         new LinkBody.ChangesPage(table(), true));
   }
 
   @ParameterizedTest
   @MethodSource("bodies")
-  void shouldKeepAMessageWhenEncodedAndDecoded(LinkBody body) {
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+  void shouldReturnAnEqualMessageWhenEncodedAndDecoded(LinkBody body) {
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     var m = new LinkMessage(member(), List.of(member()), body);
     assertThat(codec.decode(codec.encode(m))).contains(m);
   }
 
   @Test
-  void shouldAcceptBothKeysWhileKeysAreRotated() {
-    var before = new LinkCodec(new KeyRing(List.of(OLD)));
-    var during = new LinkCodec(new KeyRing(List.of(OLD, NEW)));
-    var after = new LinkCodec(new KeyRing(List.of(NEW, OLD)));
-    var done = new LinkCodec(new KeyRing(List.of(NEW)));
+  void shouldAcceptBothKeysWhenKeysAreBeingRotated() {
+    var before = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
+    var during = new LinkCodec(new KeyRing(List.of(OLD_KEY, NEW_KEY)));
+    var after = new LinkCodec(new KeyRing(List.of(NEW_KEY, OLD_KEY)));
+    var done = new LinkCodec(new KeyRing(List.of(NEW_KEY)));
     var m = new LinkMessage(member(), List.of(), bodies().get(0));
     assertThat(during.decode(before.encode(m))).contains(m);
     assertThat(during.decode(after.encode(m))).contains(m);
@@ -76,8 +76,8 @@
   }
 
   @Test
-  void shouldRefuseAnyChangedByte() {
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+  void shouldRejectOrIgnoreAnyChangeWhenOneByteIsChanged() {
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     byte[] good = codec.encode(new LinkMessage(member(), List.of(), bodies().get(4)));
     var random = new Random(31);
     for (int i = 0; i < 5_000; i++) {
@@ -90,8 +90,8 @@
   }
 
   @Test
-  void shouldNeverThrowWhenBytesAreRandomOrSignedNonsense() {
-    var ring = new KeyRing(List.of(OLD));
+  void shouldNeverThrowWhenBytesAreRandomOrSignedButMalformed() {
+    var ring = new KeyRing(List.of(OLD_KEY));
     var codec = new LinkCodec(ring);
     var random = new Random(32);
     byte[] good = codec.encode(new LinkMessage(member(), List.of(member()), bodies().get(4)));
@@ -109,7 +109,7 @@
 
   private static byte[] signed(KeyRing ring, byte[] envelope) {
     return dev.cactusstack.link.generated.Datagram.newBuilder()
-        .setKeyId(ring.signingId())
+        .setKeyId(ring.signingKeyId())
         .setEnvelope(com.google.protobuf.ByteString.copyFrom(envelope))
         .setTag(com.google.protobuf.ByteString.copyFrom(ring.sign(envelope)))
         .build()
@@ -123,16 +123,16 @@
     var at = new ChangeCursor(0, "");
     boolean more = true;
     while (more) {
-      LinkBody.ChangesPage page = at.page(source, 4);
+      LinkBody.ChangesPage page = at.readPage(source, 4);
       read = read.merge(page.rows());
-      at = ChangeCursor.lastOf(page.rows());
-      more = page.more();
+      at = ChangeCursor.ofLastRow(page.rows());
+      more = page.hasMore();
     }
     assertThat(read).isEqualTo(source);
   }
 
   @Test
-  void shouldFitADatagramWhenRowsRememberAllTheirOperations() {
+  void shouldFitIntoADatagramWhenRowsRecordTheMaximumOfOperations() {
     var operations =
         java.util.stream.IntStream.range(0, Route.MAX_RECORDED_OPERATIONS)
             .mapToObj(i -> "00000000-0000-0000-0000-00000000000" + i)
@@ -145,7 +145,7 @@
     var body =
         new LinkBody.ChangesPage(
             new ConfigurationTable(Long.MAX_VALUE, routes, new TreeMap<>()), true);
-    var codec = new LinkCodec(new KeyRing(List.of(OLD)));
+    var codec = new LinkCodec(new KeyRing(List.of(OLD_KEY)));
     byte[] bytes = codec.encode(new LinkMessage(member(), List.of(), body));
     assertThat(bytes.length).isLessThan(LinkTransport.MAX_DATAGRAM_BYTES);
   }
--- a/settings/src/main/java/dev/cactusstack/settings/CallersSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/CallerListenerSettings.java
@@ -16,7 +16,7 @@
  * @param entriesTtlMs how long callers may keep the answer to a look-up
  * @param networks which data centre is nearest to which callers
  */
-public record CallersSettings(
+public record CallerListenerSettings(
     Address address,
     int ioThreads,
     int maxHeaderBytes,
@@ -27,14 +27,14 @@
     List<Network> networks) {
 
   /** Copies the networks. */
-  public CallersSettings {
+  public CallerListenerSettings {
     networks = List.copyOf(networks);
   }
 
-  static CallersSettings read(Section s) {
+  static CallerListenerSettings read(Section s) {
     int cores = Runtime.getRuntime().availableProcessors();
     var settings =
-        new CallersSettings(
+        new CallerListenerSettings(
             s.address("address", "127.0.0.1:8080"),
             (int) s.integer("io_threads", Math.min(4, cores), 1, 64),
             (int) s.integer("max_header_bytes", 16_384, 1_024, 262_144),
@@ -43,7 +43,7 @@
             (int) s.integer("idle_timeout_ms", 60_000, 1_000, 3_600_000),
             (int) s.integer("entries_ttl_ms", 5_000, 1_000, 60_000),
             networks(s));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 
@@ -53,7 +53,7 @@
       var dataCentre =
           n.parsed("data_centre", "example-1", dev.cactusstack.model.DataCentre::parse);
       list.add(n.parsed("prefix", "10.1.0.0/16", t -> Network.parse(t, dataCentre)));
-      n.finish();
+      n.rejectUnknownKeys();
     }
     return list;
   }
--- a/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/HostSettings.java
@@ -28,8 +28,8 @@
 public record HostSettings(
     HostId id,
     DataCentre dataCentre,
-    CallersSettings callers,
-    OperatorsSettings operators,
+    CallerListenerSettings callers,
+    OperatorListenerSettings operators,
     LinkSettings link,
     PlatformSettings platform,
     RequestSettings requests) {
@@ -47,25 +47,25 @@
    * @param environment the process's environment variables
    * @return the settings, or every fault
    */
-  public static CheckedSettings parse(String text, Map<String, String> environment) {
+  public static SettingsResult parse(String text, Map<String, String> environment) {
     Objects.requireNonNull(text, "text is null");
     JsonNode root;
     try {
       root = MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
-      String at = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
-      return new CheckedSettings.Invalid(
-          List.of(new SettingsFault("(file)", at, "correct the JSON: " + e.getOriginalMessage())));
+      String location = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr();
+      return new SettingsResult.Invalid(
+          List.of(new SettingsError("(file)", location, "correct the JSON: " + e.getOriginalMessage())));
     }
     if (root == null || !root.isObject()) {
-      return new CheckedSettings.Invalid(
-          List.of(new SettingsFault("(file)", "no object", "write one object in braces")));
+      return new SettingsResult.Invalid(
+          List.of(new SettingsError("(file)", "no object", "write one object in braces")));
     }
-    var faults = new ArrayList<SettingsFault>();
-    HostSettings settings = read(new Section("", root, faults), environment);
-    return faults.isEmpty()
-        ? new CheckedSettings.Valid(settings)
-        : new CheckedSettings.Invalid(faults);
+    var errors = new ArrayList<SettingsError>();
+    HostSettings settings = read(new Section("", root, errors), environment);
+    return errors.isEmpty()
+        ? new SettingsResult.Valid(settings)
+        : new SettingsResult.Invalid(errors);
   }
 
   private static HostSettings read(Section root, Map<String, String> environment) {
@@ -74,13 +74,13 @@
         new HostSettings(
             host.parsed("id", "host-1", HostId::parse),
             host.parsed("data_centre", "example-1", DataCentre::parse),
-            CallersSettings.read(root.section("callers")),
-            OperatorsSettings.read(root.section("operators"), environment),
+            CallerListenerSettings.read(root.section("callers")),
+            OperatorListenerSettings.read(root.section("operators"), environment),
             LinkSettings.read(root.section("link")),
             PlatformSettings.read(root.section("platform")),
             RequestSettings.read(root.section("requests")));
-    host.finish();
-    root.finish();
+    host.rejectUnknownKeys();
+    root.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/LinkSettings.java
@@ -13,10 +13,10 @@
  *
  * @param address where other hosts send datagrams
  * @param keys the accepted keys; the first signs
- * @param bytesPerSecond most bytes to send in a second, for control
+ * @param maxBytesPerSecond most bytes to send in a second, for control
  */
-public record LinkSettings(Address address, List<Key> keys, int bytesPerSecond) {
-  private static final int MIN_SECRET_DIGITS = 32;
+public record LinkSettings(Address address, List<Key> keys, int maxBytesPerSecond) {
+  private static final int MIN_SECRET_HEX_DIGITS = 32;
 
   /**
    * A shared secret.
@@ -44,31 +44,31 @@
     for (Section k : s.sections("keys")) {
       Key key = key(k);
       if (!ids.add(key.id())) {
-        k.fault("id", "give each key its own number");
+        k.addError("id", "give each key its own number");
       }
       keys.add(key);
     }
     if (keys.isEmpty()) {
-      s.fault("keys", "add at least one, as {\"id\": 1, \"secret\": \"32 or more hex digits\"}");
+      s.addError("keys", "add at least one, as {\"id\": 1, \"secret\": \"32 or more hex digits\"}");
     }
     int rate = (int) s.integer("bytes_per_second", 5_000, 1_000, 1_000_000);
-    s.finish();
+    s.rejectUnknownKeys();
     return new LinkSettings(address, keys, rate);
   }
 
   private static Key key(Section s) {
     int id = (int) s.integer("id", 1, 1, Integer.MAX_VALUE);
-    String hex = s.string("secret", "0".repeat(MIN_SECRET_DIGITS));
-    s.finish();
+    String hex = s.string("secret", "0".repeat(MIN_SECRET_HEX_DIGITS));
+    s.rejectUnknownKeys();
     try {
       byte[] secret = HexFormat.of().parseHex(hex);
-      if (hex.length() >= MIN_SECRET_DIGITS) {
+      if (hex.length() >= MIN_SECRET_HEX_DIGITS) {
         return new Key(id, secret);
       }
     } catch (IllegalArgumentException e) {
       // Reported below, as for a secret that is too short.
     }
-    s.secretFault("secret", "write an even number of hex digits, at least " + MIN_SECRET_DIGITS);
-    return new Key(id, new byte[MIN_SECRET_DIGITS / 2]);
+    s.addSecretError("secret", "write an even number of hex digits, at least " + MIN_SECRET_HEX_DIGITS);
+    return new Key(id, new byte[MIN_SECRET_HEX_DIGITS / 2]);
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/Network.java
+++ b/settings/src/main/java/dev/cactusstack/settings/Network.java
@@ -10,13 +10,13 @@
 /**
  * An IPv4 network whose callers are nearest to one data centre. Immutable and thread-safe.
  *
- * @param base the network's address as a 32-bit number
- * @param prefixBits the length of its prefix, 0 to 32
+ * @param networkAddress the network's address as a 32-bit number
+ * @param prefixLength the length of its prefix, 0 to 32
  * @param dataCentre the nearest data centre
  */
-public record Network(int base, int prefixBits, DataCentre dataCentre) {
+public record Network(int networkAddress, int prefixLength, DataCentre dataCentre) {
   private static final int ADDRESS_BITS = 32;
-  private static final Pattern FORM =
+  private static final Pattern CIDR_PATTERN =
       Pattern.compile("([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})\\.([0-9]{1,3})/([0-9]{1,2})");
 
   /** Checks the components. */
@@ -33,7 +33,7 @@
    */
   public static Result<Network> parse(String text, DataCentre dataCentre) {
     Objects.requireNonNull(text, "text is null");
-    Matcher m = FORM.matcher(text);
+    Matcher m = CIDR_PATTERN.matcher(text);
     if (!m.matches() || Integer.parseInt(m.group(5)) > ADDRESS_BITS) {
       return Result.failure(
           Problem.invalid("'" + text + "' is not a network", "write it as \"10.1.0.0/16\""));
@@ -59,7 +59,7 @@
     for (byte b : address) {
       a = (a << 8) | (b & 0xff);
     }
-    int mask = prefixBits == 0 ? 0 : -1 << (ADDRESS_BITS - prefixBits);
-    return (a & mask) == (base & mask);
+    int mask = prefixLength == 0 ? 0 : -1 << (ADDRESS_BITS - prefixLength);
+    return (a & mask) == (networkAddress & mask);
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/OperatorsSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/OperatorListenerSettings.java
@@ -14,7 +14,7 @@
  * @param token what operators present, if they must
  * @param tls the server's key, if the port uses TLS
  */
-public record OperatorsSettings(Address address, Optional<String> token, Optional<TlsKey> tls) {
+public record OperatorListenerSettings(Address address, Optional<String> token, Optional<TlsKeystore> tls) {
   /** The environment variable that sets the token in place of the file. */
   public static final String TOKEN_VARIABLE = "CACTUSSTACK_OPERATORS_TOKEN";
 
@@ -23,51 +23,51 @@
   /**
    * A private key and its certificate in a PKCS #12 file.
    *
-   * @param keystore the file's path
+   * @param path the file's path
    * @param password the file's password
    */
-  public record TlsKey(String keystore, String password) {
+  public record TlsKeystore(String path, String password) {
     @Override
     public String toString() {
-      return "TlsKey(" + keystore + ")";
+      return "TlsKey(" + path + ")";
     }
   }
 
   /** Checks the components. */
-  public OperatorsSettings {
+  public OperatorListenerSettings {
     Objects.requireNonNull(address, "address is null");
     Objects.requireNonNull(token, "token is null");
     Objects.requireNonNull(tls, "tls is null");
   }
 
-  static OperatorsSettings read(Section s, Map<String, String> environment) {
+  static OperatorListenerSettings read(Section s, Map<String, String> environment) {
     Address address = s.address("address", "127.0.0.1:8081");
     Optional<String> inFile = s.optionalString("token");
     Optional<String> token = Optional.ofNullable(environment.get(TOKEN_VARIABLE)).or(() -> inFile);
-    Optional<TlsKey> tls = s.optionalSection("tls").map(t -> tls(t, environment));
+    Optional<TlsKeystore> tls = s.optionalSection("tls").map(t -> tls(t, environment));
     if (token.isPresent() && token.get().length() < MIN_TOKEN_LENGTH) {
-      s.secretFault("token", "use at least " + MIN_TOKEN_LENGTH + " characters");
+      s.addSecretError("token", "use at least " + MIN_TOKEN_LENGTH + " characters");
     }
     if (!address.isLoopback() && token.isEmpty()) {
-      s.fault(
+      s.addError(
           "token", "set it, or the variable " + TOKEN_VARIABLE + "; only loopback works without");
     }
     if (!address.isLoopback() && tls.isEmpty()) {
-      s.fault("tls", "name a keystore; only loopback works without TLS");
+      s.addError("tls", "name a keystore; only loopback works without TLS");
     }
-    s.finish();
-    return new OperatorsSettings(address, token, tls);
+    s.rejectUnknownKeys();
+    return new OperatorListenerSettings(address, token, tls);
   }
 
-  private static TlsKey tls(Section s, Map<String, String> environment) {
+  private static TlsKeystore tls(Section s, Map<String, String> environment) {
     String keystore = s.string("keystore", "operators.p12");
     String variable = s.string("password_variable", "CACTUSSTACK_TLS_PASSWORD");
     String password = environment.get(variable);
     if (password == null) {
-      s.fault("password_variable", "set the environment variable " + variable);
+      s.addError("password_variable", "set the environment variable " + variable);
     }
-    s.finish();
-    return new TlsKey(keystore, password == null ? "" : password);
+    s.rejectUnknownKeys();
+    return new TlsKeystore(keystore, password == null ? "" : password);
   }
 
   @Override
--- a/settings/src/main/java/dev/cactusstack/settings/PlatformSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/PlatformSettings.java
@@ -23,7 +23,7 @@
             s.address("address", "127.0.0.1:9000"),
             (int) s.integer("timeout_ms", 1_000, 50, 60_000),
             (int) s.integer("read_interval_ms", 1_000, 100, 60_000));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/RequestSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/RequestSettings.java
@@ -3,26 +3,26 @@
 /**
  * How requests are treated. Immutable and thread-safe.
  *
- * @param queueLength most requests that wait for one route at its owner
+ * @param maxQueueLength most requests that wait for one route at its owner
  * @param queueTimeoutMs how long a request may wait for an upstream
- * @param answerTimeoutMs how long an upstream may take to begin its answer
+ * @param responseTimeoutMs how long an upstream may take to begin its answer
  * @param connectTimeoutMs how long opening a connection may take
- * @param attempts most attempts for one request
- * @param retryShare retries allowed for each first attempt
- * @param hedgeShare second attempts beside a slow one allowed for each first attempt
- * @param claimsPerSecond most requests with an {@code Idempotency-Key} that one host takes in a
+ * @param maxAttempts most attempts for one request
+ * @param retryRatio retries allowed for each first attempt
+ * @param hedgeRatio second attempts beside a slow one allowed for each first attempt
+ * @param maxClaimsPerSecond most requests with an {@code Idempotency-Key} that one host takes in a
  *     second; each costs the platform two writes
  * @param drainTimeoutMs how long a leaving host waits for requests in flight
  */
 public record RequestSettings(
-    int queueLength,
+    int maxQueueLength,
     int queueTimeoutMs,
-    int answerTimeoutMs,
+    int responseTimeoutMs,
     int connectTimeoutMs,
-    int attempts,
-    double retryShare,
-    double hedgeShare,
-    int claimsPerSecond,
+    int maxAttempts,
+    double retryRatio,
+    double hedgeRatio,
+    int maxClaimsPerSecond,
     int drainTimeoutMs) {
 
   static RequestSettings read(Section s) {
@@ -37,7 +37,7 @@
             s.fraction("hedge_share", 0.05),
             (int) s.integer("claims_per_second", 10, 1, 10_000),
             (int) s.integer("drain_timeout_ms", 600_000, 0, 86_400_000));
-    s.finish();
+    s.rejectUnknownKeys();
     return settings;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/Section.java
+++ b/settings/src/main/java/dev/cactusstack/settings/Section.java
@@ -21,22 +21,22 @@
 
   private final String path;
   private final JsonNode node;
-  private final List<SettingsFault> faults;
-  private final Set<String> read = new HashSet<>();
+  private final List<SettingsError> errors;
+  private final Set<String> knownKeys = new HashSet<>();
 
-  Section(String path, JsonNode node, List<SettingsFault> faults) {
+  Section(String path, JsonNode node, List<SettingsError> errors) {
     this.path = path;
     this.node = node;
-    this.faults = faults;
+    this.errors = errors;
   }
 
   Section section(String key) {
-    JsonNode n = take(key);
+    JsonNode n = readKey(key);
     if (!n.isMissingNode() && !n.isObject()) {
-      fault(key, n, "write an object in braces");
+      addError(key, n, "write an object in braces");
     }
     ObjectNode empty = JsonNodeFactory.instance.objectNode();
-    return new Section(at(key), n.isObject() ? n : empty, faults);
+    return new Section(pathOf(key), n.isObject() ? n : empty, errors);
   }
 
   Optional<Section> optionalSection(String key) {
@@ -44,24 +44,24 @@
   }
 
   List<Section> sections(String key) {
-    JsonNode n = take(key);
+    JsonNode n = readKey(key);
     if (!n.isMissingNode() && !n.isArray()) {
-      fault(key, n, "write a list in brackets");
+      addError(key, n, "write a list in brackets");
     }
     var list = new ArrayList<Section>();
     for (int i = 0; n.isArray() && i < n.size(); i++) {
-      list.add(new Section(at(key) + "[" + i + "]", n.get(i), faults));
+      list.add(new Section(pathOf(key) + "[" + i + "]", n.get(i), errors));
     }
     return list;
   }
 
   Optional<String> optionalString(String key) {
-    JsonNode n = take(key);
+    JsonNode n = readKey(key);
     if (n.isMissingNode()) {
       return Optional.empty();
     }
     if (!n.isTextual() || n.asText().isBlank()) {
-      fault(key, n, "write a non-empty text in quotes");
+      addError(key, n, "write a non-empty text in quotes");
       return Optional.empty();
     }
     return Optional.of(n.asText());
@@ -70,7 +70,7 @@
   String string(String key, String example) {
     Optional<String> s = optionalString(key);
     if (s.isEmpty() && !node.has(key)) {
-      fault(key, node.path(key), "add it, as \"" + example + "\"");
+      addError(key, node.path(key), "add it, as \"" + example + "\"");
     }
     return s.orElse(example);
   }
@@ -81,7 +81,7 @@
         .apply(text)
         .fold(
             p -> {
-              fault(key, node.path(key), p.remedy());
+              addError(key, node.path(key), p.remedy());
               return parse.apply(example).fold(q -> fail(key), v -> v);
             },
             v -> v);
@@ -95,71 +95,71 @@
     return parsed(key, example, Address::parse);
   }
 
-  long integer(String key, long standard, long min, long max) {
-    JsonNode n = take(key);
+  long integer(String key, long defaultValue, long min, long max) {
+    JsonNode n = readKey(key);
     if (n.isMissingNode()) {
-      return standard;
+      return defaultValue;
     }
     if (!n.isIntegralNumber() || !n.canConvertToLong() || n.asLong() < min || n.asLong() > max) {
-      fault(
+      addError(
           key,
           n,
-          "write a whole number from " + min + " to " + max + ", or leave it out for " + standard);
-      return standard;
+          "write a whole number from " + min + " to " + max + ", or leave it out for " + defaultValue);
+      return defaultValue;
     }
     return n.asLong();
   }
 
-  double fraction(String key, double standard) {
-    JsonNode n = take(key);
+  double fraction(String key, double defaultValue) {
+    JsonNode n = readKey(key);
     if (n.isMissingNode()) {
-      return standard;
+      return defaultValue;
     }
     if (!n.isNumber() || n.asDouble() < 0 || n.asDouble() > 1) {
-      fault(key, n, "write a number from 0 to 1, or leave it out for " + standard);
-      return standard;
+      addError(key, n, "write a number from 0 to 1, or leave it out for " + defaultValue);
+      return defaultValue;
     }
     return n.asDouble();
   }
 
-  void fault(String key, String remedy) {
-    fault(key, node.path(key), remedy);
+  void addError(String key, String remedy) {
+    addError(key, node.path(key), remedy);
   }
 
-  private void fault(String key, JsonNode n, String remedy) {
-    faults.add(new SettingsFault(at(key), n.isMissingNode() ? ABSENT : n.toString(), remedy));
+  private void addError(String key, JsonNode n, String remedy) {
+    errors.add(new SettingsError(pathOf(key), n.isMissingNode() ? ABSENT : n.toString(), remedy));
   }
 
   /** Records a fault that does not show the value, for secrets. */
-  void secretFault(String key, String remedy) {
-    faults.add(new SettingsFault(at(key), "hidden", remedy));
+  void addSecretError(String key, String remedy) {
+    errors.add(new SettingsError(pathOf(key), "hidden", remedy));
   }
 
   /** Reports the keys that nothing has read. */
-  void finish() {
+  void rejectUnknownKeys() {
     if (!node.isObject()) {
-      faults.add(new SettingsFault(path, node.toString(), "write an object in braces"));
+      errors.add(new SettingsError(path, node.toString(), "write an object in braces"));
       return;
     }
     node.fieldNames()
         .forEachRemaining(
             k -> {
-              if (!read.contains(k)) {
-                fault(
+              if (!knownKeys.contains(k)) {
+                addError(
                     k,
                     node.path(k),
                     "remove it; the known keys here are "
-                        + String.join(", ", read.stream().sorted().toList()));
+                        + String.join(", ", knownKeys.stream().sorted().toList()));
               }
             });
   }
 
-  private JsonNode take(String key) {
-    read.add(key);
+  private JsonNode readKey(String key) {
+    knownKeys.add(key);
     return node.path(key);
   }
 
-  private String at(String key) {
+  private String pathOf(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 }
--- a/settings/src/main/java/dev/cactusstack/settings/SettingsFault.java
+++ b/settings/src/main/java/dev/cactusstack/settings/SettingsError.java
@@ -9,10 +9,10 @@
  * @param value what stands there, as JSON; {@code absent} for nothing
  * @param remedy what to write instead
  */
-public record SettingsFault(String key, String value, String remedy) {
+public record SettingsError(String key, String value, String remedy) {
 
   /** Checks the components. */
-  public SettingsFault {
+  public SettingsError {
     Objects.requireNonNull(key, "key is null");
     Objects.requireNonNull(value, "value is null");
     Objects.requireNonNull(remedy, "remedy is null");
--- a/settings/src/main/java/dev/cactusstack/settings/CheckedSettings.java
+++ b/settings/src/main/java/dev/cactusstack/settings/SettingsResult.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /** The outcome of reading a settings file. Immutable and thread-safe. */
-public sealed interface CheckedSettings {
+public sealed interface SettingsResult {
 
   /**
    * Every key is acceptable.
    *
    * @param settings the settings
    */
-  record Valid(HostSettings settings) implements CheckedSettings {
+  record Valid(HostSettings settings) implements SettingsResult {
     /** Checks the settings. */
     public Valid {
       Objects.requireNonNull(settings, "settings is null");
@@ -21,12 +21,12 @@
   /**
    * At least one key is not acceptable.
    *
-   * @param faults all that is wrong
+   * @param errors all that is wrong
    */
-  record Invalid(List<SettingsFault> faults) implements CheckedSettings {
+  record Invalid(List<SettingsError> errors) implements SettingsResult {
     /** Copies the faults. */
     public Invalid {
-      faults = List.copyOf(faults);
+      errors = List.copyOf(errors);
     }
   }
 }
--- a/settings/src/test/java/dev/cactusstack/settings/HostSettingsTest.java
+++ b/settings/src/test/java/dev/cactusstack/settings/HostSettingsTest.java
@@ -23,17 +23,17 @@
       """
           .formatted(SECRET);
 
-  private static List<SettingsFault> faults(String text) {
-    CheckedSettings c = HostSettings.parse(text, Map.of());
-    return c instanceof CheckedSettings.Invalid i ? i.faults() : List.of();
+  private static List<SettingsError> errors(String text) {
+    SettingsResult c = HostSettings.parse(text, Map.of());
+    return c instanceof SettingsResult.Invalid i ? i.errors() : List.of();
   }
 
   @Test
   void shouldReadCommentsAndDefaultsWhenValid() {
-    CheckedSettings c = HostSettings.parse(VALID, Map.of());
-    HostSettings s = ((CheckedSettings.Valid) c).settings();
+    SettingsResult c = HostSettings.parse(VALID, Map.of());
+    HostSettings s = ((SettingsResult.Valid) c).settings();
     assertThat(s.callers().maxHeaderBytes()).isEqualTo(8192);
-    assertThat(s.requests().attempts()).isEqualTo(3);
+    assertThat(s.requests().maxAttempts()).isEqualTo(3);
   }
 
   @ParameterizedTest
@@ -52,34 +52,34 @@
         "{\"id\": 1,                | {\"id\": 0,                  | link.keys[0].id"
       })
   void shouldNameTheKeyAndARemedyWhenAValueIsWrong(String from, String to, String key) {
-    List<SettingsFault> faults = faults(VALID.replace(from, to == null ? "" : to));
-    assertThat(faults).extracting(SettingsFault::key).contains(key);
+    List<SettingsError> faults = errors(VALID.replace(from, to == null ? "" : to));
+    assertThat(faults).extracting(SettingsError::key).contains(key);
     assertThat(faults).allSatisfy(f -> assertThat(f.remedy()).isNotBlank());
   }
 
   @Test
   void shouldNotShowASecretWhenItIsWrong() {
-    List<SettingsFault> faults = faults(VALID.replace(SECRET, "beef"));
+    List<SettingsError> faults = errors(VALID.replace(SECRET, "beef"));
     assertThat(faults).hasSize(1);
     assertThat(faults.get(0).toString()).contains("link.keys[0].secret").doesNotContain("beef");
   }
 
   @Test
-  void shouldReportEveryFaultAtOnce() {
+  void shouldReportAllErrorsAtOnceWhenSeveralValuesAreWrong() {
     String text = VALID.replace("\"id\": \"a-1\"", "\"id\": 7").replace("8192", "-1");
-    assertThat(faults(text)).hasSize(2);
+    assertThat(errors(text)).hasSize(2);
   }
 
   @Test
   void shouldReportTheLineWhenTheFileIsNotJson() {
-    assertThat(faults("{\n\"host\": }").get(0).value()).contains("line 2");
+    assertThat(errors("{\n\"host\": }").get(0).value()).contains("line 2");
   }
 
   @Test
-  void shouldTakeTheTokenFromTheEnvironmentWhenSet() {
-    var environment = Map.of(OperatorsSettings.TOKEN_VARIABLE, "a-long-enough-token");
-    CheckedSettings c = HostSettings.parse(VALID, environment);
-    assertThat(((CheckedSettings.Valid) c).settings().operators().token())
+  void shouldReadTheTokenFromTheEnvironmentWhenSet() {
+    var environment = Map.of(OperatorListenerSettings.TOKEN_VARIABLE, "a-long-enough-token");
+    SettingsResult c = HostSettings.parse(VALID, environment);
+    assertThat(((SettingsResult.Valid) c).settings().operators().token())
         .contains("a-long-enough-token");
   }
 }
--- a/standin/src/main/java/dev/cactusstack/standin/HostRegistry.java
+++ b/standin/src/main/java/dev/cactusstack/standin/HostRegistry.java
@@ -23,12 +23,12 @@
 
   synchronized void remove(String address) {
     if (hosts.containsKey(address)) {
-      hosts.put(address, new HostEntry(++revision, Json.object()));
+      hosts.put(address, new HostEntry(++revision, Json.newObject()));
     }
   }
 
   synchronized ObjectNode changesAfter(long after) {
-    ObjectNode page = Json.object().put("revision", revision).put("whole", after == 0);
+    ObjectNode page = Json.newObject().put("revision", revision).put("whole", after == 0);
     ArrayNode changed = page.putArray("hosts");
     ArrayNode removed = page.putArray("removed");
     hosts.forEach(
--- a/standin/src/main/java/dev/cactusstack/standin/InMemoryTable.java
+++ b/standin/src/main/java/dev/cactusstack/standin/InMemoryTable.java
@@ -51,7 +51,7 @@
   /** Returns the row with the given key, or an empty object when there is none. */
   synchronized ObjectNode row(String key) {
     Row row = findUnexpired(key);
-    ObjectNode n = Json.object();
+    ObjectNode n = Json.newObject();
     if (row != null) {
       n.put("key", key).put("version", row.version).set("value", row.value);
     }
@@ -59,7 +59,7 @@
   }
 
   synchronized ObjectNode changesAfter(long after) {
-    ObjectNode page = Json.object().put("revision", revision);
+    ObjectNode page = Json.newObject().put("revision", revision);
     ArrayNode changedRows = page.putArray("rows");
     rows.forEach(
         (key, row) -> {
--- a/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/PlatformStandIn.java
@@ -91,7 +91,7 @@
    * @param writes a transaction's {@code writes}, each with {@code key} and {@code value}
    */
   public void writeRows(ArrayNode writes) {
-    ObjectNode transaction = Json.object();
+    ObjectNode transaction = Json.newObject();
     transaction.set("writes", writes);
     table.commit(transaction);
   }
@@ -152,7 +152,7 @@
     } else if (path.startsWith(OBJECTS_PATH)) {
       handleObject(x, path.substring(OBJECTS_PATH.length()));
     } else {
-      reply(x, 404, Json.object().put("error", "no such resource"));
+      reply(x, 404, Json.newObject().put("error", "no such resource"));
     }
   }
 
@@ -176,7 +176,7 @@
 
   private static JsonNode readBody(HttpServerExchange x) throws Exception {
     x.startBlocking();
-    return Json.parse(x.getInputStream().readAllBytes()).orElse(Json.object());
+    return Json.parse(x.getInputStream().readAllBytes()).orElse(Json.newObject());
   }
 
   private void transact(HttpServerExchange x) throws Exception {
@@ -184,9 +184,9 @@
     if (consumeLostResponse()) {
       IoUtils.safeClose(x.getConnection());
     } else if (revision.isPresent()) {
-      reply(x, 200, Json.object().put("revision", revision.getAsLong()));
+      reply(x, 200, Json.newObject().put("revision", revision.getAsLong()));
     } else {
-      reply(x, 409, Json.object().put("error", "a row has another version"));
+      reply(x, 409, Json.newObject().put("error", "a row has another version"));
     }
   }
 
@@ -206,19 +206,19 @@
     } else {
       registerHost(address, readBody(x));
     }
-    reply(x, 200, Json.object());
+    reply(x, 200, Json.newObject());
   }
 
   private void handleObject(HttpServerExchange x, String name) throws Exception {
     if (x.getRequestMethod().equalToString("PUT")) {
       x.startBlocking();
       objects.put(name, x.getInputStream().readAllBytes());
-      reply(x, 200, Json.object());
+      reply(x, 200, Json.newObject());
       return;
     }
     byte[] content = objects.get(name);
     if (content == null) {
-      reply(x, 404, Json.object().put("error", "no such object"));
+      reply(x, 404, Json.newObject().put("error", "no such object"));
       return;
     }
     x.getResponseSender().send(ByteBuffer.wrap(content));
@@ -232,7 +232,7 @@
             n.path("slow_ms").asLong(),
             n.path("lose_answers").asInt(),
             n.path("table_down").asBoolean()));
-    reply(x, 200, Json.object());
+    reply(x, 200, Json.newObject());
   }
 
   /**
@@ -246,7 +246,7 @@
   }
 
   private void reply(HttpServerExchange x, int status, JsonNode content) {
-    byte[] body = Json.bytes(content);
+    byte[] body = Json.toBytes(content);
     responseBytes.add(body.length + OVERHEAD_BYTES_PER_REQUEST);
     x.setStatusCode(status);
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
--- a/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
+++ b/standin/src/main/java/dev/cactusstack/standin/UpstreamStandIn.java
@@ -290,8 +290,8 @@
     }
     x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     byte[] body =
-        Json.bytes(
-            Json.object()
+        Json.toBytes(
+            Json.newObject()
                 .put("service", spec.service())
                 .put("data_centre", spec.dataCentre())
                 .put("upstream", address())
@@ -335,7 +335,7 @@
     x.getRequestReceiver()
         .receiveFullBytes(
             (ex, bytes) -> {
-              JsonNode n = Json.parse(bytes).orElse(Json.object());
+              JsonNode n = Json.parse(bytes).orElse(Json.newObject());
               if (n.path("cold").asBoolean()) {
                 makeCold();
               }
--- a/storage/src/main/java/dev/cactusstack/storage/ClaimStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/ClaimStore.java
@@ -15,7 +15,7 @@
    *
    * @param key the key
    * @param holder identifies this attempt to claim
-   * @return what became of it, or an {@link dev.cactusstack.http.HttpFailure} when that is not
+   * @return what became of it, or an {@link dev.cactusstack.http.HttpException} when that is not
    *     known; the request has not been run then
    */
   CompletableFuture<ClaimOutcome> claim(ClaimKey key, String holder);
@@ -27,7 +27,7 @@
    * @param holder who claimed it
    * @param status the answer's status code
    */
-  void finished(ClaimKey key, String holder, int status);
+  void markAnswered(ClaimKey key, String holder, int status);
 
   /**
    * Gives the key back after a request that was certainly not run.
@@ -35,21 +35,21 @@
    * @param key the key
    * @param holder who claimed it
    */
-  void released(ClaimKey key, String holder);
+  void release(ClaimKey key, String holder);
 
   /**
    * Identifies a request of a caller.
    *
    * @param service the service
-   * @param digest a digest of the caller's key, in hexadecimal digits
-   * @param fingerprint a digest of the method and target, in hexadecimal digits
+   * @param keyDigest a digest of the caller's key, in hexadecimal digits
+   * @param requestFingerprint a digest of the method and target, in hexadecimal digits
    */
-  record ClaimKey(ServiceName service, String digest, String fingerprint) {
+  record ClaimKey(ServiceName service, String keyDigest, String requestFingerprint) {
     /** Checks the components. */
     public ClaimKey {
       Objects.requireNonNull(service, "service is null");
-      Objects.requireNonNull(digest, "digest is null");
-      Objects.requireNonNull(fingerprint, "fingerprint is null");
+      Objects.requireNonNull(keyDigest, "digest is null");
+      Objects.requireNonNull(requestFingerprint, "fingerprint is null");
     }
   }
 
@@ -69,6 +69,6 @@
     record AlreadyAnswered(int status) implements ClaimOutcome {}
 
     /** The key was used for another request. */
-    record OtherRequest() implements ClaimOutcome {}
+    record RequestMismatch() implements ClaimOutcome {}
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HostChanges.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HostChanges.java
@@ -10,16 +10,16 @@
  * What changed in the host list. Immutable and thread-safe.
  *
  * @param revision the revision that the changes lead to
- * @param whole whether the changes are the whole list, so that hosts left out are gone
- * @param listed hosts that are new or have another entry
+ * @param fullSnapshot whether the changes are the whole list, so that hosts left out are gone
+ * @param addedOrUpdated hosts that are new or have another entry
  * @param removed addresses that are no longer listed
  */
 public record HostChanges(
-    long revision, boolean whole, List<ListedHost> listed, List<Address> removed) {
+    long revision, boolean fullSnapshot, List<ListedHost> addedOrUpdated, List<Address> removed) {
 
   /** Copies the lists. */
   public HostChanges {
-    listed = List.copyOf(listed);
+    addedOrUpdated = List.copyOf(addedOrUpdated);
     removed = List.copyOf(removed);
   }
 
@@ -31,11 +31,11 @@
    */
   public Map<Address, ListedHost> applyTo(Map<Address, ListedHost> before) {
     var after = new TreeMap<Address, ListedHost>();
-    if (!whole) {
+    if (!fullSnapshot) {
       after.putAll(before);
     }
     removed.forEach(after::remove);
-    listed.forEach(h -> after.put(h.address(), h));
+    addedOrUpdated.forEach(h -> after.put(h.address(), h));
     return after;
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HostList.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HostList.java
@@ -9,7 +9,7 @@
    * Reads what changed after a revision.
    *
    * @param revision the revision the reader has; 0 reads all
-   * @return the changes, or an {@link dev.cactusstack.http.HttpFailure}
+   * @return the changes, or an {@link dev.cactusstack.http.HttpException}
    */
-  CompletableFuture<HostChanges> hostsAfter(long revision);
+  CompletableFuture<HostChanges> readHostChanges(long revision);
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HttpClaims.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HttpClaimStore.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dev.cactusstack.http.HttpCall;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
-import dev.cactusstack.http.HttpReply;
+import dev.cactusstack.http.HttpRequest;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.HttpResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
 import java.net.URI;
@@ -19,12 +19,12 @@
  * <p>Invariant: {@link ClaimOutcome.Granted} is returned only when the row holds this holder's
  * claim. Thread-safe.
  */
-public final class HttpClaims implements ClaimStore {
+public final class HttpClaimStore implements ClaimStore {
   private static final int OK = 200;
   private static final int CONFLICT = 409;
   private static final long RETENTION_MS = Duration.ofHours(24).toMillis();
 
-  private final HttpCaller caller;
+  private final HttpClient caller;
   private final String base;
   private final Duration timeout;
 
@@ -35,7 +35,7 @@
    * @param address where the platform serves
    * @param timeout how long one request may take
    */
-  public HttpClaims(HttpCaller caller, Address address, Duration timeout) {
+  public HttpClaimStore(HttpClient caller, Address address, Duration timeout) {
     this.caller = Objects.requireNonNull(caller, "caller is null");
     this.base = "http://" + Objects.requireNonNull(address, "address is null");
     this.timeout = Objects.requireNonNull(timeout, "timeout is null");
@@ -58,13 +58,13 @@
   private static ClaimOutcome outcome(JsonNode row, ClaimKey key, String holder) {
     JsonNode v = row.path("value");
     if (v.isMissingNode()) {
-      throw new HttpFailure(true, "the claim was neither granted nor found");
+      throw new HttpException(true, "the claim was neither granted nor found");
     }
     if (v.path("holder").asText().equals(holder)) {
       return new ClaimOutcome.Granted();
     }
-    if (!v.path("fingerprint").asText().equals(key.fingerprint())) {
-      return new ClaimOutcome.OtherRequest();
+    if (!v.path("fingerprint").asText().equals(key.requestFingerprint())) {
+      return new ClaimOutcome.RequestMismatch();
     }
     return v.path("state").asText().equals("answered")
         ? new ClaimOutcome.AlreadyAnswered(v.path("status").asInt())
@@ -72,13 +72,13 @@
   }
 
   @Override
-  public void finished(ClaimKey key, String holder, int status) {
+  public void markAnswered(ClaimKey key, String holder, int status) {
     change(key, holder, value(key, holder, "answered", status));
   }
 
   @Override
-  public void released(ClaimKey key, String holder) {
-    change(key, holder, Json.object().put("expires_in_ms", 0));
+  public void release(ClaimKey key, String holder) {
+    change(key, holder, Json.newObject().put("expires_in_ms", 0));
   }
 
   /** Best effort: a change that is lost leaves the key claimed, which is safe. */
@@ -93,27 +93,27 @@
   }
 
   private static ObjectNode value(ClaimKey key, String holder, String state, int status) {
-    return Json.object()
+    return Json.newObject()
         .put("holder", holder)
-        .put("fingerprint", key.fingerprint())
+        .put("fingerprint", key.requestFingerprint())
         .put("state", state)
         .put("status", status)
         .put("expires_in_ms", RETENTION_MS);
   }
 
-  private CompletableFuture<HttpReply> commit(ClaimKey key, long version, ObjectNode value) {
-    ObjectNode t = Json.object();
+  private CompletableFuture<HttpResponse> commit(ClaimKey key, long version, ObjectNode value) {
+    ObjectNode t = Json.newObject();
     t.putArray("checks").addObject().put("key", row(key)).put("version", version);
     t.putArray("writes").addObject().put("key", row(key)).set("value", value);
     URI uri = URI.create(base + "/v1/transactions?table=claims");
     return caller
-        .call(HttpCall.json("POST", uri, Json.bytes(t), timeout))
-        .thenApply(HttpClaims::known);
+        .send(HttpRequest.json("POST", uri, Json.toBytes(t), timeout))
+        .thenApply(HttpClaimStore::known);
   }
 
-  private static HttpReply known(HttpReply reply) {
+  private static HttpResponse known(HttpResponse reply) {
     if (reply.status() != OK && reply.status() != CONFLICT) {
-      throw new HttpFailure(true, "the platform answered status " + reply.status());
+      throw new HttpException(true, "the platform answered status " + reply.status());
     }
     return reply;
   }
@@ -121,11 +121,11 @@
   private CompletableFuture<JsonNode> read(ClaimKey key) {
     URI uri = URI.create(base + "/v1/row?table=claims&key=" + row(key));
     return caller
-        .call(HttpCall.get(uri, timeout))
-        .thenApply(r -> Json.parse(known(r).body()).orElse(Json.object()));
+        .send(HttpRequest.get(uri, timeout))
+        .thenApply(r -> Json.parse(known(r).body()).orElse(Json.newObject()));
   }
 
   private static String row(ClaimKey key) {
-    return key.service() + "/" + key.digest();
+    return key.service() + "/" + key.keyDigest();
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/HttpPlatform.java
+++ b/storage/src/main/java/dev/cactusstack/storage/HttpPlatformClient.java
@@ -1,10 +1,10 @@
 package dev.cactusstack.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dev.cactusstack.http.HttpCall;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
-import dev.cactusstack.http.HttpReply;
+import dev.cactusstack.http.HttpRequest;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
+import dev.cactusstack.http.HttpResponse;
 import dev.cactusstack.http.Json;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.ConfigurationTable;
@@ -17,13 +17,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /** The platform over its HTTP interface. Thread-safe. */
-public final class HttpPlatform implements TableStore, HostList {
+public final class HttpPlatformClient implements TableStore, HostList {
   private static final int OK = 200;
   private static final int CONFLICT = 409;
   private static final int CLIENT_ERROR = 400;
   private static final int SERVER_ERROR = 500;
 
-  private final HttpCaller caller;
+  private final HttpClient caller;
   private final String base;
   private final Duration timeout;
 
@@ -34,43 +34,43 @@
    * @param address where the platform serves
    * @param timeout how long one request may take
    */
-  public HttpPlatform(HttpCaller caller, Address address, Duration timeout) {
+  public HttpPlatformClient(HttpClient caller, Address address, Duration timeout) {
     this.caller = Objects.requireNonNull(caller, "caller is null");
     this.base = "http://" + Objects.requireNonNull(address, "address is null");
     this.timeout = Objects.requireNonNull(timeout, "timeout is null");
   }
 
   @Override
-  public CompletableFuture<ConfigurationTable> changesAfter(long revision) {
-    return read("/v1/rows?after=" + revision).thenApply(RowCodec::table);
+  public CompletableFuture<ConfigurationTable> readChanges(long revision) {
+    return read("/v1/rows?after=" + revision).thenApply(RowCodec::decodeTable);
   }
 
   @Override
-  public CompletableFuture<HostChanges> hostsAfter(long revision) {
-    return read("/v1/hosts?after=" + revision).thenApply(RowCodec::hosts);
+  public CompletableFuture<HostChanges> readHostChanges(long revision) {
+    return read("/v1/hosts?after=" + revision).thenApply(RowCodec::decodeHosts);
   }
 
   private CompletableFuture<JsonNode> read(String path) {
-    return caller.call(HttpCall.get(URI.create(base + path), timeout)).thenApply(this::content);
+    return caller.send(HttpRequest.get(URI.create(base + path), timeout)).thenApply(this::content);
   }
 
-  private JsonNode content(HttpReply reply) {
+  private JsonNode content(HttpResponse reply) {
     if (reply.status() != OK) {
-      throw new HttpFailure(true, "the platform answered status " + reply.status());
+      throw new HttpException(true, "the platform answered status " + reply.status());
     }
     return Json.parse(reply.body())
-        .orElseThrow(() -> new HttpFailure(true, "the platform's answer is not JSON"));
+        .orElseThrow(() -> new HttpException(true, "the platform's answer is not JSON"));
   }
 
   @Override
   public CompletableFuture<CommitOutcome> commit(
       List<Route> routes, List<DataCentreRow> dataCentres) {
-    byte[] body = RowCodec.transaction(routes, dataCentres);
+    byte[] body = RowCodec.encodeTransaction(routes, dataCentres);
     URI uri = URI.create(base + "/v1/transactions");
-    return caller.call(HttpCall.json("POST", uri, body, timeout)).thenApply(this::outcome);
+    return caller.send(HttpRequest.json("POST", uri, body, timeout)).thenApply(this::outcome);
   }
 
-  private CommitOutcome outcome(HttpReply reply) {
+  private CommitOutcome outcome(HttpResponse reply) {
     int s = reply.status();
     if (s == OK) {
       return new CommitOutcome.Committed(content(reply).path("revision").asLong());
@@ -79,9 +79,9 @@
       return new CommitOutcome.VersionMismatch();
     }
     if (s >= CLIENT_ERROR && s < SERVER_ERROR) {
-      return new CommitOutcome.Refused("status " + s + ": " + reply.text());
+      return new CommitOutcome.Rejected("status " + s + ": " + reply.bodyAsString());
     }
     // A server error does not say whether the transaction took effect.
-    throw new HttpFailure(true, "the platform answered status " + s);
+    throw new HttpException(true, "the platform answered status " + s);
   }
 }
--- a/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
+++ b/storage/src/main/java/dev/cactusstack/storage/RowCodec.java
@@ -29,18 +29,18 @@
 
   private RowCodec() {}
 
-  static ConfigurationTable table(JsonNode page) {
+  static ConfigurationTable decodeTable(JsonNode page) {
     var routes = new TreeMap<RouteKey, Route>();
     var dataCentres = new TreeMap<DataCentre, DataCentreRow>();
     for (JsonNode row : page.path("rows")) {
       String key = row.path("key").asText();
-      route(key, row).ifPresent(r -> routes.put(r.key(), r));
-      dataCentre(key, row).ifPresent(d -> dataCentres.put(d.dataCentre(), d));
+      decodeRoute(key, row).ifPresent(r -> routes.put(r.key(), r));
+      decodeDataCentre(key, row).ifPresent(d -> dataCentres.put(d.dataCentre(), d));
     }
     return new ConfigurationTable(page.path("revision").asLong(), routes, dataCentres);
   }
 
-  private static Optional<Route> route(String key, JsonNode row) {
+  private static Optional<Route> decodeRoute(String key, JsonNode row) {
     String[] parts = key.split("/", -1);
     if (!key.startsWith(ROUTE_PREFIX) || parts.length != 3) {
       return Optional.empty();
@@ -58,7 +58,7 @@
                     v.path(RouteColumn.LIMIT.label()).asInt(),
                     v.path(RouteColumn.UPSTREAM_LIMIT.label()).asInt(),
                     row.path("version").asLong(),
-                    operations(v)));
+                    decodeOperations(v)));
   }
 
   private static boolean hasAllColumns(JsonNode value) {
@@ -71,7 +71,7 @@
     return true;
   }
 
-  private static Optional<DataCentreRow> dataCentre(String key, JsonNode row) {
+  private static Optional<DataCentreRow> decodeDataCentre(String key, JsonNode row) {
     if (!key.startsWith(DATA_CENTRE_PREFIX)) {
       return Optional.empty();
     }
@@ -81,41 +81,41 @@
         .map(
             d ->
                 new DataCentreRow(
-                    d, v.path("out").asBoolean(), row.path("version").asLong(), operations(v)));
+                    d, v.path("out").asBoolean(), row.path("version").asLong(), decodeOperations(v)));
   }
 
-  private static List<String> operations(JsonNode value) {
+  private static List<String> decodeOperations(JsonNode value) {
     var ids = new ArrayList<String>();
     value.path("operations").forEach(n -> ids.add(n.asText()));
     return ids;
   }
 
-  static byte[] transaction(List<Route> routes, List<DataCentreRow> dataCentres) {
-    ObjectNode t = Json.object();
+  static byte[] encodeTransaction(List<Route> routes, List<DataCentreRow> dataCentres) {
+    ObjectNode t = Json.newObject();
     routes.forEach(
         r -> {
-          ObjectNode w = write(t, ROUTE_PREFIX + r.key(), r.version(), r.operations());
+          ObjectNode w = addWrite(t, ROUTE_PREFIX + r.key(), r.version(), r.operations());
           for (RouteColumn c : RouteColumn.values()) {
             w.put(c.label(), r.get(c));
           }
         });
     dataCentres.forEach(
         d ->
-            write(t, DATA_CENTRE_PREFIX + d.dataCentre(), d.version(), d.operations())
+            addWrite(t, DATA_CENTRE_PREFIX + d.dataCentre(), d.version(), d.operations())
                 .put("out", d.evacuated()));
-    return Json.bytes(t);
+    return Json.toBytes(t);
   }
 
-  private static ObjectNode write(ObjectNode t, String key, long version, List<String> operations) {
+  private static ObjectNode addWrite(ObjectNode t, String key, long version, List<String> operations) {
     t.withArray("checks").addObject().put("key", key).put("version", version);
     ObjectNode value = t.withArray("writes").addObject().put("key", key).putObject("value");
     operations.forEach(value.withArray("operations")::add);
     return value;
   }
 
-  static HostChanges hosts(JsonNode page) {
+  static HostChanges decodeHosts(JsonNode page) {
     var hosts = new ArrayList<ListedHost>();
-    page.path("hosts").forEach(n -> host(n).ifPresent(hosts::add));
+    page.path("hosts").forEach(n -> decodeHost(n).ifPresent(hosts::add));
     var removed = new ArrayList<Address>();
     page.path("removed")
         .forEach(n -> Address.parse(n.asText()).toOptional().ifPresent(removed::add));
@@ -123,7 +123,7 @@
         page.path("revision").asLong(), page.path("whole").asBoolean(), hosts, removed);
   }
 
-  private static Optional<ListedHost> host(JsonNode n) {
+  private static Optional<ListedHost> decodeHost(JsonNode n) {
     boolean upstream = n.path("role").asText().equals("upstream");
     Optional<ServiceName> service = ServiceName.parse(n.path("service").asText()).toOptional();
     if (upstream && service.isEmpty()) {
--- a/storage/src/main/java/dev/cactusstack/storage/TableStore.java
+++ b/storage/src/main/java/dev/cactusstack/storage/TableStore.java
@@ -14,16 +14,16 @@
    *
    * @param revision the revision the reader has; 0 reads all
    * @return the changed rows with the revision they were read at, or an {@link
-   *     dev.cactusstack.http.HttpFailure}
+   *     dev.cactusstack.http.HttpException}
    */
-  CompletableFuture<ConfigurationTable> changesAfter(long revision);
+  CompletableFuture<ConfigurationTable> readChanges(long revision);
 
   /**
    * Writes rows when each still has the version it carries (0: when it does not exist).
    *
    * @param routes rows to write; each row's version is the one expected
    * @param dataCentres rows to write; each row's version is the one expected
-   * @return the outcome, or an {@link dev.cactusstack.http.HttpFailure}
+   * @return the outcome, or an {@link dev.cactusstack.http.HttpException}
    */
   CompletableFuture<CommitOutcome> commit(List<Route> routes, List<DataCentreRow> dataCentres);
 
@@ -44,6 +44,6 @@
      *
      * @param reason its words
      */
-    record Refused(String reason) implements CommitOutcome {}
+    record Rejected(String reason) implements CommitOutcome {}
   }
 }
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
-import dev.cactusstack.http.HttpCaller;
-import dev.cactusstack.http.HttpFailure;
+import dev.cactusstack.http.HttpClient;
+import dev.cactusstack.http.HttpException;
 import dev.cactusstack.http.Json;
-import dev.cactusstack.http.Workers;
+import dev.cactusstack.http.XnioWorkers;
 import dev.cactusstack.model.Address;
 import dev.cactusstack.model.ConfigurationTable;
 import dev.cactusstack.model.ListedHost;
@@ -33,15 +33,15 @@
   private static final long SLOW_MS = 1_200;
 
   private final PlatformStandIn standIn = PlatformStandIn.start(0);
-  private final XnioWorker worker = Workers.daemon("platform-test", 1);
-  private HttpPlatform client = client(standIn.port(), LONG);
+  private final XnioWorker worker = XnioWorkers.createDaemonWorker("platform-test", 1);
+  private HttpPlatformClient client = client(standIn.port(), LONG);
   private String report = "";
   private Map<Address, ListedHost> known = new TreeMap<>();
   private long knownRevision;
 
-  private HttpPlatform client(int port, Duration timeout) {
-    return new HttpPlatform(
-        new HttpCaller(worker, Optional.empty()), new Address("127.0.0.1", port), timeout);
+  private HttpPlatformClient client(int port, Duration timeout) {
+    return new HttpPlatformClient(
+        new HttpClient(worker, Optional.empty()), new Address("127.0.0.1", port), timeout);
   }
 
   /** Stops the stand-in. */
@@ -54,7 +54,7 @@
   /** Writes the first row. */
   @Given("a table with row {string} of weight {int} at version 1")
   public void table(String key, int weight) {
-    ArrayNode writes = Json.object().putArray("writes");
+    ArrayNode writes = Json.newObject().putArray("writes");
     writes
         .addObject()
         .put("key", "route/" + key)
@@ -87,7 +87,7 @@
     report =
         client
             .commit(List.of(row), List.of())
-            .handle((o, t) -> t == null ? name(o) : name(HttpFailure.of(t)))
+            .handle((o, t) -> t == null ? name(o) : name(HttpException.from(t)))
             .join();
   }
 
@@ -95,8 +95,8 @@
     return o instanceof TableStore.CommitOutcome.Committed ? "committed" : "a mismatch";
   }
 
-  private static String name(HttpFailure f) {
-    return f.mayBeProcessed() ? "a failure, sent" : "a failure, not sent";
+  private static String name(HttpException f) {
+    return f.mayHaveBeenProcessed() ? "a failure, sent" : "a failure, not sent";
   }
 
   /** Checks what the client said. */
@@ -112,14 +112,14 @@
       Thread.sleep(2 * SLOW_MS);
     }
     standIn.setFaults(PlatformFaults.NONE);
-    ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).changesAfter(0).join();
+    ConfigurationTable t = client(standIn.port(), Duration.ofSeconds(10)).readChanges(0).join();
     assertThat(t.route(KEY).orElseThrow().weight()).isEqualTo(weight);
   }
 
   /** Reads changes. */
   @Then("^a reader at version (\\d+) gets (\\d+) rows? at version (\\d+)$")
   public void changes(long after, int rows, long version) {
-    ConfigurationTable t = client.changesAfter(after).join();
+    ConfigurationTable t = client.readChanges(after).join();
     assertThat(t.routes()).hasSize(rows);
     assertThat(t.version()).isEqualTo(version);
   }
@@ -128,9 +128,9 @@
   @Given("a host list with {string} and {string}")
   public void hosts(String a, String b) {
     for (String address : List.of(a, b)) {
-      standIn.registerHost(address, Json.object().put("role", "entry").put("data_centre", "almaty-1"));
+      standIn.registerHost(address, Json.newObject().put("role", "entry").put("data_centre", "almaty-1"));
     }
-    HostChanges all = client.hostsAfter(0).join();
+    HostChanges all = client.readHostChanges(0).join();
     known = all.applyTo(known);
     knownRevision = all.revision();
     assertThat(known).hasSize(2);
@@ -145,15 +145,15 @@
   /** Reads from the start. */
   @Then("a reader of the list from the start knows {string} only")
   public void fromStart(String address) {
-    assertThat(client.hostsAfter(0).join().applyTo(new TreeMap<>()).keySet())
+    assertThat(client.readHostChanges(0).join().applyTo(new TreeMap<>()).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
   }
 
   /** Reads on. */
   @Then("a reader that knew both knows {string} only")
-  public void goOn(String address) {
-    assertThat(client.hostsAfter(knownRevision).join().applyTo(known).keySet())
+  public void readOn(String address) {
+    assertThat(client.readHostChanges(knownRevision).join().applyTo(known).keySet())
         .extracting(Address::toString)
         .containsExactly(address);
   }
