--- a/bench/src/main/java/dev/cactusstack/bench/BenchCluster.java
+++ b/bench/src/main/java/dev/cactusstack/bench/BenchCluster.java
@@ -50,8 +50,7 @@
     }
     entryPolicy =
         new EntryHostPolicy(
-            client,
-            embeddedHosts.hosts().stream().map(h -> h.callerAddress().toString()).toList());
+            client, embeddedHosts.hosts().stream().map(h -> h.callerAddress().toString()).toList());
   }
 
   /** Starts a cluster whose upstreams respond within about two milliseconds, for many requests. */
--- a/ctl/src/main/java/dev/cactusstack/ctl/OperatorApiClient.java
+++ b/ctl/src/main/java/dev/cactusstack/ctl/OperatorApiClient.java
@@ -87,7 +87,7 @@
     try {
       response = httpClient.send(authorizedRequest).join();
     } catch (CompletionException e) {
-      throw HttpException.from(e);
+      throw HttpException.fromThrowable(e);
     }
     JsonNode body =
         Json.parse(response.body())
--- a/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
+++ b/embedded/src/main/java/dev/cactusstack/embedded/HostSpec.java
@@ -1,7 +1,7 @@
 package dev.cactusstack.embedded;
 
-import dev.cactusstack.settings.SettingsResult;
 import dev.cactusstack.settings.HostSettings;
+import dev.cactusstack.settings.SettingsResult;
 import java.util.Map;
 import java.util.Objects;
 
--- a/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/Gateway.java
@@ -4,15 +4,15 @@
 import dev.cactusstack.decisions.gossip.PeerTable;
 import dev.cactusstack.decisions.placing.SchedulerSettings;
 import dev.cactusstack.gateway.callers.CallerListener;
-import dev.cactusstack.gateway.callers.RequestHandler;
-import dev.cactusstack.gateway.callers.MetricsHandler;
 import dev.cactusstack.gateway.callers.ForwardingContext;
 import dev.cactusstack.gateway.callers.ForwardingHandler;
+import dev.cactusstack.gateway.callers.MetricsHandler;
+import dev.cactusstack.gateway.callers.RequestHandler;
 import dev.cactusstack.gateway.control.ConfigurationController;
 import dev.cactusstack.gateway.control.HostsController;
 import dev.cactusstack.gateway.control.UpstreamsController;
-import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.net.HttpClient;
+import dev.cactusstack.gateway.net.HttpClientSettings;
 import dev.cactusstack.gateway.observe.EventLog;
 import dev.cactusstack.gateway.observe.GatewayMetrics;
 import dev.cactusstack.gateway.scheduling.Link;
@@ -141,7 +141,8 @@
     this.client =
         new HttpClient(
             loop,
-            new HttpClientSettings(CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
+            new HttpClientSettings(
+                CONNECT_TIMEOUT_MS, MAX_IDLE_CONNECTION_MS, false, MAX_RESPONSE_BYTES),
             clock);
     var prober = new UpstreamProber(client, upstreamHeaders);
     var schedulers =
@@ -192,7 +193,9 @@
     registry.registerCounter(
         "cactusstack_store_failures", "Failed calls to the store", store::failedCallCount);
     registry.registerCounter(
-        "cactusstack_upstream_connections", "Connections opened to upstreams", client::openedConnections);
+        "cactusstack_upstream_connections",
+        "Connections opened to upstreams",
+        client::openedConnections);
     registry.registerCounter(
         "cactusstack_upstream_probes", "Probes of upstreams", prober::sentProbeCount);
     registry.registerCounter(
--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
@@ -205,7 +205,11 @@
   }
 
   private boolean matchesRequest(HttpHeaders h) {
-    return context.wire().requestId(h).map(id::equals).orElseGet(() -> context.wire().reportsNotRun(0, h));
+    return context
+        .wire()
+        .requestId(h)
+        .map(id::equals)
+        .orElseGet(() -> context.wire().reportsNotRun(0, h));
   }
 
   private long hedgeDelayMs() {
@@ -292,7 +296,9 @@
     event("answered")
         .with("status", r.status())
         .with("upstream", upstreamRegistration.id())
-        .with("load", context.wire().reportedLoad(r.headers()).map(ReportedLoad::toString).orElse("untold"))
+        .with(
+            "load",
+            context.wire().reportedLoad(r.headers()).map(ReportedLoad::toString).orElse("untold"))
         .with("attempts", sends)
         .with("took_ms", now() - request.arrivedAtMs())
         .write();
--- a/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/scheduling/UpstreamProber.java
@@ -1,9 +1,9 @@
 package dev.cactusstack.gateway.scheduling;
 
 import dev.cactusstack.decisions.placing.ReportedLoad;
+import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.net.HttpClient;
 import dev.cactusstack.gateway.net.OutgoingRequest;
-import dev.cactusstack.gateway.net.ExchangeResult;
 import dev.cactusstack.gateway.site.UpstreamHeaders;
 import dev.cactusstack.model.site.UpstreamRegistration;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
--- a/host/src/main/java/dev/cactusstack/host/EntryHost.java
+++ b/host/src/main/java/dev/cactusstack/host/EntryHost.java
@@ -119,8 +119,12 @@
 
   private void addGauges(Metrics metrics) {
     metrics.gauge(
-        "cactusstack.link.sent.bytes", "Bytes sent to other hosts", transport, t -> t.sentByteCount());
-    metrics.gauge("cactusstack.link.rejected", "Datagrams rejected", transport, t -> t.rejectedCount());
+        "cactusstack.link.sent.bytes",
+        "Bytes sent to other hosts",
+        transport,
+        t -> t.sentByteCount());
+    metrics.gauge(
+        "cactusstack.link.rejected", "Datagrams rejected", transport, t -> t.rejectedDatagrams());
     metrics.gauge(
         "cactusstack.link.over.budget",
         "Datagrams dropped because the budget was exhausted",
--- a/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/ConfigurationController.java
@@ -156,7 +156,9 @@
           "%s",
           Event.named("table_service")
               .with("reachable", ok)
-              .with("reason", t == null ? "" : String.valueOf(HttpException.from(t).getMessage())));
+              .with(
+                  "reason",
+                  t == null ? "" : String.valueOf(HttpException.fromThrowable(t).getMessage())));
     }
     if (rows != null) {
       apply(rows, "table");
--- a/host/src/main/java/dev/cactusstack/host/control/EditService.java
+++ b/host/src/main/java/dev/cactusstack/host/control/EditService.java
@@ -89,7 +89,7 @@
               (rows, t) ->
                   t == null
                       ? decide(current.merge(rows), attempt)
-                      : retryLater(attempt, HttpException.from(t)))
+                      : retryLater(attempt, HttpException.fromThrowable(t)))
           .thenCompose(f -> f);
     }
 
@@ -129,7 +129,7 @@
               (o, t) ->
                   t == null
                       ? committed(c, base, o, attempt)
-                      : failed(c, HttpException.from(t), attempt))
+                      : failed(c, HttpException.fromThrowable(t), attempt))
           .thenCompose(f -> f);
     }
 
--- a/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
+++ b/host/src/main/java/dev/cactusstack/host/control/MembershipController.java
@@ -138,7 +138,8 @@
 
   private void send(OutgoingMessage o) {
     sender.send(
-        o.receiver(), new LinkMessage(o.sender(), o.updates(), new LinkBody.FailureDetection(o.probe())));
+        o.receiver(),
+        new LinkMessage(o.sender(), o.updates(), new LinkBody.FailureDetection(o.probe())));
   }
 
   private void publish() {
--- a/http/src/main/java/dev/cactusstack/http/HttpException.java
+++ b/http/src/main/java/dev/cactusstack/http/HttpException.java
@@ -36,7 +36,7 @@
    * @param t the throwable reported by a completion stage
    * @return the HTTP exception in the cause chain, or a new one that assumes the request was sent
    */
-  public static HttpException from(Throwable t) {
+  public static HttpException fromThrowable(Throwable t) {
     Throwable c = t;
     while (c.getCause() != null && !(c instanceof HttpException)) {
       c = c.getCause();
--- a/link/src/main/java/dev/cactusstack/link/LinkTransport.java
+++ b/link/src/main/java/dev/cactusstack/link/LinkTransport.java
@@ -35,7 +35,7 @@
   private final MultiThreadIoEventLoopGroup group;
   private final Channel channel;
   private final LongAdder sentByteCount = new LongAdder();
-  private final LongAdder rejectedCount = new LongAdder();
+  private final LongAdder rejectedDatagrams = new LongAdder();
 
   private LinkTransport(
       LinkCodec codec, Address bind, int port, BiConsumer<Address, LinkMessage> receiver) {
@@ -104,8 +104,8 @@
    *
    * @return the count
    */
-  public long rejectedCount() {
-    return rejectedCount.sum();
+  public long rejectedDatagrams() {
+    return rejectedDatagrams.sum();
   }
 
   @Override
@@ -128,13 +128,13 @@
       Address sender = new Address(from.getAddress().getHostAddress(), from.getPort());
       codec
           .decode(ByteBufUtil.getBytes(packet.content()))
-          .ifPresentOrElse(m -> receiver.accept(sender, m), rejectedCount::increment);
+          .ifPresentOrElse(m -> receiver.accept(sender, m), rejectedDatagrams::increment);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       // ICMP errors of unreachable peers are reported here; failure detection handles such peers.
-      rejectedCount.increment();
+      rejectedDatagrams.increment();
     }
   }
 }
--- a/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
+++ b/storage/src/test/java/dev/cactusstack/storage/PlatformSteps.java
@@ -87,7 +87,7 @@
     report =
         client
             .commit(List.of(row), List.of())
-            .handle((o, t) -> t == null ? name(o) : name(HttpException.from(t)))
+            .handle((o, t) -> t == null ? name(o) : name(HttpException.fromThrowable(t)))
             .join();
   }
 
@@ -128,7 +128,8 @@
   @Given("a host list with {string} and {string}")
   public void hosts(String a, String b) {
     for (String address : List.of(a, b)) {
-      standIn.registerHost(address, Json.newObject().put("role", "entry").put("data_centre", "almaty-1"));
+      standIn.registerHost(
+          address, Json.newObject().put("role", "entry").put("data_centre", "almaty-1"));
     }
     HostChanges all = client.readHostChanges(0).join();
     known = all.applyTo(known);
