--- a/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
+++ b/gateway/src/main/java/dev/cactusstack/gateway/callers/ForwardedRequest.java
@@ -85,7 +85,7 @@
         context
             .loop()
             .schedule(this::deadlineReached, Math.max(1, remainingMs()), TimeUnit.MILLISECONDS);
-    requestPlacement(false);
+    requestSlot(false);
   }
 
   @Override
@@ -103,7 +103,7 @@
     }
   }
 
-  private void requestPlacement(boolean isHedge) {
+  private void requestSlot(boolean isHedge) {
     PlacementKey key = context.placement().nextKey();
     pendingPlacement = key;
     var placementRequest =
@@ -136,7 +136,7 @@
    */
   private void placementRejected(PlacementDecision.Rejected rejection, boolean isHedge) {
     if (isHedge && remainingMs() > MIN_REMAINING_MS) {
-      requestPlacement(false);
+      requestSlot(false);
     } else {
       giveUp(Refusal.NO_ROOM, rejection.retryAfterMs());
     }
@@ -225,7 +225,7 @@
         && activeAttempts.size() == 1
         && possibleExecutions + 1 < route.maxAttempts()) {
       event("hedge").with("after_ms", now() - activeAttempts.get(0).startedAtMs).write();
-      requestPlacement(true);
+      requestSlot(true);
     }
   }
 
@@ -277,7 +277,7 @@
         possibleExecutions < route.maxAttempts() && sends < route.maxAttempts() + MAX_EXTRA_SENDS;
     lastFailure = result;
     if (allowed && attemptsLeft && remainingMs() > MIN_REMAINING_MS) {
-      requestPlacement(false);
+      requestSlot(false);
       return;
     }
     giveUp(end.provesNotRun() ? Refusal.NOT_RUN : Refusal.NO_ANSWER, RETRY_AFTER_MS);
